--- a/admission/trial.go
+++ b/admission/suspectgate.go
@@ -9,9 +9,9 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// Trial stands before a daemon's homes. It keeps two runs of one suspect from
+// SuspectGate stands before a daemon's homes. It keeps two runs of one suspect from
 // overlapping, and refuses what the entry did not yet know to be suspect.
-type Trial struct {
+type SuspectGate struct {
 	suspects *Suspects
 	do       func(context.Context, shard.Request) shard.Result
 
@@ -25,13 +25,13 @@
 	requests int
 }
 
-// NewTrial returns a Trial that passes requests to do.
-func NewTrial(s *Suspects, do func(context.Context, shard.Request) shard.Result) *Trial {
-	return &Trial{suspects: s, do: do, running: make(map[uint64]run)}
+// NewSuspectGate returns a SuspectGate that passes requests to do.
+func NewSuspectGate(s *Suspects, do func(context.Context, shard.Request) shard.Result) *SuspectGate {
+	return &SuspectGate{suspects: s, do: do, running: make(map[uint64]run)}
 }
 
 // Do runs a request unless its fingerprint forbids it, and records a crash.
-func (t *Trial) Do(ctx context.Context, r shard.Request) shard.Result {
+func (t *SuspectGate) Do(ctx context.Context, r shard.Request) shard.Result {
 	crashes := t.suspects.Crashes(r.Fingerprint())
 	switch {
 	case crashes >= secondCrash:
@@ -47,16 +47,16 @@
 	res := t.do(ctx, r)
 	if res.Crashed() {
 		if r.Suspect() {
-			t.suspects.CrashedAgain(r.Fingerprint())
+			t.suspects.RecordRepeatCrash(r.Fingerprint())
 		} else {
-			t.suspects.Crashed(r.Fingerprint())
+			t.suspects.RecordCrash(r.Fingerprint())
 		}
 	}
 	return res
 }
 
 // enter admits all requests of one query and none of another.
-func (t *Trial) enter(r shard.Request) bool {
+func (t *SuspectGate) enter(r shard.Request) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	have, ok := t.running[r.Fingerprint()]
@@ -67,7 +67,7 @@
 	return true
 }
 
-func (t *Trial) leave(r shard.Request) {
+func (t *SuspectGate) leave(r shard.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	have := t.running[r.Fingerprint()]
--- a/admission/trial_test.go
+++ b/admission/suspectgate_test.go
@@ -51,7 +51,7 @@
 		})
 	}
 	// One home serves the group; any daemon may be the entry.
-	home := NewTrial(daemons[0], func(_ context.Context, r shard.Request) shard.Result {
+	home := NewSuspectGate(daemons[0], func(_ context.Context, r shard.Request) shard.Result {
 		time.Sleep(5 * time.Millisecond)
 		spec := shard.ResultSpec{Ran: refusal.DidRun}
 		if r.Fingerprint() == poison {
@@ -108,7 +108,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			clk := bubble{start: time.Now()}
 			crashes, refused := 0, 0
-			daemons, homes := make([]*Suspects, count), make([]*Trial, count)
+			daemons, homes := make([]*Suspects, count), make([]*SuspectGate, count)
 			for i := range daemons {
 				daemons[i] = NewSuspects(clk, func(strikes []*peerpb.CrashStrike) {
 					go func() {
@@ -120,7 +120,7 @@
 						}
 					}()
 				})
-				homes[i] = NewTrial(daemons[i], func(context.Context, shard.Request) shard.Result {
+				homes[i] = NewSuspectGate(daemons[i], func(context.Context, shard.Request) shard.Result {
 					crashes++
 					return shard.NewResult(shard.ResultSpec{Kind: refusal.SearcherFailed, Ran: refusal.DidRun, Crashed: true})
 				})
@@ -148,8 +148,8 @@
 func TestSuspectRunsAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewSuspects(bubble{start: time.Now()}, func([]*peerpb.CrashStrike) {})
-		s.Crashed(poison)
-		home := NewTrial(s, func(context.Context, shard.Request) shard.Result {
+		s.RecordCrash(poison)
+		home := NewSuspectGate(s, func(context.Context, shard.Request) shard.Result {
 			time.Sleep(time.Second)
 			return shard.NewResult(shard.ResultSpec{Ran: refusal.DidRun})
 		})
@@ -183,7 +183,7 @@
 	for f := range uint64(maxSuspects + 100) {
 		s.Merge([]*peerpb.CrashStrike{{Fingerprint: f, Crashes: 9, AgeMs: 1}})
 	}
-	if n := len(s.Strikes(1 << 30)); n != maxSuspects {
+	if n := len(s.CrashReports(1 << 30)); n != maxSuspects {
 		t.Errorf("%d suspects, the bound is %d", n, maxSuspects)
 	}
 }
--- a/admission/suspects.go
+++ b/admission/suspects.go
@@ -51,16 +51,16 @@
 	return int(s.liveLocked(fingerprint).crashes)
 }
 
-// Crashed records a crash under a request that was not yet a suspect.
-func (s *Suspects) Crashed(fingerprint uint64) { s.record(fingerprint, firstCrash) }
+// RecordCrash records a crash under a request that was not yet a suspect.
+func (s *Suspects) RecordCrash(fingerprint uint64) { s.record(fingerprint, firstCrash) }
 
-// CrashedAgain records a crash under a suspect.
-func (s *Suspects) CrashedAgain(fingerprint uint64) { s.record(fingerprint, secondCrash) }
+// RecordRepeatCrash records a crash under a suspect.
+func (s *Suspects) RecordRepeatCrash(fingerprint uint64) { s.record(fingerprint, secondCrash) }
 
-// Cleared forgets a fingerprint whose request was answered, so that requests
+// Clear forgets a fingerprint whose request was answered, so that requests
 // that only were under way when a searcher crashed are served as before.
 // Strikes of before that other daemons still spread are ignored.
-func (s *Suspects) Cleared(fingerprint uint64) {
+func (s *Suspects) Clear(fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.table[fingerprint]; ok {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Strikes returns up to limit live strikes, for daemons that missed them.
-func (s *Suspects) Strikes(limit int) []*peerpb.CrashStrike {
+// CrashReports returns up to limit live strikes, for daemons that missed them.
+func (s *Suspects) CrashReports(limit int) []*peerpb.CrashStrike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clk.Boot()
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -25,7 +25,7 @@
 	changed   bool     // Listeners must be called.
 	queued    []func() // Tasks to start at the end of the critical section.
 	listeners []func()
-	applies   bool   // The daemon calls Applied.
+	applies   bool   // The daemon calls ConfirmShares.
 	applied   uint64 // Key of the shares that the homes have.
 	noted     uint64 // Key at the last tick.
 	reads     uint64 // Calls of ShareKey.
@@ -97,9 +97,9 @@
 	return c.view.m.members
 }
 
-// Order returns the members to ask for g, the home first. The result is shared
+// PreferenceList returns the members to ask for g, the home first. The result is shared
 // and must not be changed.
-func (c *Cell) Order(g catalogue.Group) []Member {
+func (c *Cell) PreferenceList(g catalogue.Group) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.orderLocked(g)
@@ -130,7 +130,7 @@
 }
 
 // ShareKey identifies the shares in force. Read it before Share, and pass it to
-// Applied once the homes have these shares.
+// ConfirmShares once the homes have these shares.
 func (c *Cell) ShareKey() uint64 {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
@@ -139,11 +139,11 @@
 	return c.view.key(now)
 }
 
-// Applied reports that the homes have the shares that were read after the last
+// ConfirmShares reports that the homes have the shares that were read after the last
 // ShareKey, which returned key. A daemon that wakes from a pause must not use the shares it had
 // before with the lease that it gets now. Without any call, LeaseEnd does not
 // wait for one.
-func (c *Cell) Applied(key uint64) {
+func (c *Cell) ConfirmShares(key uint64) {
 	c.mu.Lock()
 	defer c.unlock()
 	c.applies, c.applied = true, key
--- a/cell/fleet_test.go
+++ b/cell/fleet_test.go
@@ -102,7 +102,7 @@
 		for _, id := range n.f.ids {
 			n.applied[id] = n.share(id, n.cell.cfg.clk.Boot())
 		}
-		n.cell.Applied(key)
+		n.cell.ConfirmShares(key)
 	})
 }
 
--- a/cell/holder.go
+++ b/cell/holder.go
@@ -1,7 +1,7 @@
 package cell
 
-// Keeper returns the member that keeps the cell, as far as this daemon knows.
-func (c *Cell) Keeper() (Member, bool) {
+// Leader returns the member that keeps the cell, as far as this daemon knows.
+func (c *Cell) Leader() (Member, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view.m == nil {
@@ -10,10 +10,10 @@
 	return c.view.m.keeper, true
 }
 
-// IsKeeper reports whether this daemon keeps the cell now. It reads the lease
+// IsLeader reports whether this daemon keeps the cell now. It reads the lease
 // on a clock that counts pauses, so a holder that was paused learns that it no
 // longer holds the role. A keeper that yields may have a successor already.
-func (c *Cell) IsKeeper() bool {
+func (c *Cell) IsLeader() bool {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cell/option.go
+++ b/cell/option.go
@@ -93,8 +93,8 @@
 	return func(c *config) { c.release = release }
 }
 
-// WithAdopt sets the function that receives what the previous homes learned.
-func WithAdopt(adopt func([]*peerpb.ReleasedGroup)) Option {
+// WithImport sets the function that receives what the previous homes learned.
+func WithImport(adopt func([]*peerpb.ReleasedGroup)) Option {
 	return func(c *config) { c.adopt = adopt }
 }
 
--- a/cell/rules_test.go
+++ b/cell/rules_test.go
@@ -36,7 +36,7 @@
 // before on the lease that it gets for a later epoch.
 func TestLeaseWaitsForShares(t *testing.T) {
 	c, clk := leased(benchMembers(4))
-	c.Applied(c.ShareKey())
+	c.ConfirmShares(c.ShareKey())
 	if c.LeaseEnd() <= clk.Boot() {
 		t.Error("no lease with applied shares")
 	}
@@ -46,7 +46,7 @@
 	if c.LeaseEnd() > clk.Boot() {
 		t.Error("lease holds before the new shares are applied")
 	}
-	c.Applied(c.ShareKey())
+	c.ConfirmShares(c.ShareKey())
 	if c.LeaseEnd() <= clk.Boot() {
 		t.Error("no lease after the new shares are applied")
 	}
@@ -59,7 +59,7 @@
 	var stop []func()
 	c.cfg.spawn = func(f func()) { stop = append(stop, f) }
 	g := catalogue.NewGroup(catalogue.GroupSpec{ID: "g"})
-	c.Applied(c.ShareKey())
+	c.ConfirmShares(c.ShareKey())
 	adopt := func(epoch uint64, members []Member) {
 		c.mu.Lock()
 		c.adoptLocked(clk.Boot(), nextOf(members, 1, epoch))
@@ -69,7 +69,7 @@
 	members := c.view.m.members
 	adopt(2, []Member{members[0], members[1].withLeaving(true)})
 	adopt(3, members)
-	c.Applied(c.ShareKey())
+	c.ConfirmShares(c.ShareKey())
 	if c.Share(g) != lease.None {
 		t.Error("group is given back before its home has stopped")
 	}
@@ -79,7 +79,7 @@
 	if c.Share(g) != lease.None {
 		t.Error("group is given back before shares without it are applied")
 	}
-	c.Applied(c.ShareKey())
+	c.ConfirmShares(c.ShareKey())
 	if c.Share(g) != lease.Full {
 		t.Errorf("share %v after that", c.Share(g))
 	}
--- a/cell/status.go
+++ b/cell/status.go
@@ -4,26 +4,26 @@
 
 // Status is what operators read about the cell on this daemon.
 type Status struct {
-	Cell           string        `json:"cell"`
-	Name           string        `json:"name"`
-	Incarnation    string        `json:"incarnation"`
-	Keeper         string        `json:"keeper"`
-	IsKeeper       bool          `json:"is_keeper"`
-	Term           uint64        `json:"term"`
-	Epoch          uint64        `json:"epoch"`
-	Settled        bool          `json:"settled"`
-	Members        int           `json:"members"`
-	Asked          uint64        `json:"asked_generation"`    // Highest generation seen anywhere.
-	InForce        uint64        `json:"in_force_generation"` // Generation that this daemon uses.
-	InForceSince   time.Time     `json:"in_force_since"`
-	Author         string        `json:"author"`
-	Applied        time.Time     `json:"applied,omitzero"`  // When the author applied it.
-	Refused        string        `json:"refused,omitempty"` // Why the asked generation is not in force.
-	Isolated       bool          `json:"isolated"`
-	Standstill     bool          `json:"standstill"`
-	StoreReachable bool          `json:"store_reachable"`
-	LeaseLeft      time.Duration `json:"lease_left_ns"`
-	Leaving        bool          `json:"leaving"`
+	Cell              string        `json:"cell"`
+	Name              string        `json:"name"`
+	Incarnation       string        `json:"incarnation"`
+	Leader            string        `json:"keeper"`
+	IsLeader          bool          `json:"is_keeper"`
+	Term              uint64        `json:"term"`
+	Epoch             uint64        `json:"epoch"`
+	Settled           bool          `json:"settled"`
+	Members           int           `json:"members"`
+	HighestGeneration uint64        `json:"asked_generation"`    // Highest generation seen anywhere.
+	InForce           uint64        `json:"in_force_generation"` // Generation that this daemon uses.
+	InForceSince      time.Time     `json:"in_force_since"`
+	Author            string        `json:"author"`
+	Applied           time.Time     `json:"applied,omitzero"`  // When the author applied it.
+	Refused           string        `json:"refused,omitempty"` // Why the asked generation is not in force.
+	Isolated          bool          `json:"isolated"`
+	Standstill        bool          `json:"standstill"`
+	StoreReachable    bool          `json:"store_reachable"`
+	LeaseLeft         time.Duration `json:"lease_left_ns"`
+	Leaving           bool          `json:"leaving"`
 }
 
 // Status returns the state of this daemon in the cell.
@@ -32,24 +32,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := Status{
-		Cell:           c.cfg.cell,
-		Name:           c.self.Name(),
-		Incarnation:    c.self.Incarnation(),
-		IsKeeper:       c.keeper != nil,
-		Asked:          c.config.highest,
-		InForce:        c.config.doc.Generation,
-		InForceSince:   c.config.since,
-		Author:         c.config.doc.Author,
-		Applied:        c.config.doc.Time,
-		Refused:        c.config.refused,
-		Isolated:       c.contact.isolated(now),
-		Standstill:     c.poll.standstill,
-		StoreReachable: c.contact.storeOK,
-		LeaseLeft:      max(0, c.view.live()-now),
-		Leaving:        c.leaving,
+		Cell:              c.cfg.cell,
+		Name:              c.self.Name(),
+		Incarnation:       c.self.Incarnation(),
+		IsLeader:          c.keeper != nil,
+		HighestGeneration: c.config.highest,
+		InForce:           c.config.doc.Generation,
+		InForceSince:      c.config.since,
+		Author:            c.config.doc.Author,
+		Applied:           c.config.doc.Time,
+		Refused:           c.config.refused,
+		Isolated:          c.contact.isolated(now),
+		Standstill:        c.poll.standstill,
+		StoreReachable:    c.contact.storeOK,
+		LeaseLeft:         max(0, c.view.live()-now),
+		Leaving:           c.leaving,
 	}
 	if m := c.view.m; m != nil {
-		s.Keeper, s.Term, s.Epoch = m.keeper.Name(), m.term, m.epoch
+		s.Leader, s.Term, s.Epoch = m.keeper.Name(), m.term, m.epoch
 		s.Settled, s.Members = c.view.settled, len(m.members)
 	}
 	return s
--- a/cell/tcp_test.go
+++ b/cell/tcp_test.go
@@ -55,7 +55,7 @@
 	waitFor(ctx, t, cells, 3)
 	var keeper int
 	for i, c := range cells {
-		if c.Status().IsKeeper {
+		if c.Status().IsLeader {
 			keeper = i
 		}
 	}
@@ -101,7 +101,7 @@
 	for _, g := range s.Groups() {
 		full := 0
 		for _, c := range cells {
-			if c.Share(g) == lease.Full && c.Order(g)[0].Name() == c.Status().Name {
+			if c.Share(g) == lease.Full && c.PreferenceList(g)[0].Name() == c.Status().Name {
 				full++
 			}
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -34,17 +34,17 @@
 	incarnation string
 	started     time.Time
 
-	store     *store.Counted
-	vms       *vmlist.Reader
-	client    *peer.Client
-	cell      *cell.Cell
-	homes     *home.Set
-	suspects  *admission.Suspects
-	trial     *admission.Trial
-	guard     *once.Guard
-	responder *once.Responder
-	entry     *entry.Entry
-	moves     *moves
+	store       *store.Counted
+	vms         *vmlist.Reader
+	client      *peer.Client
+	cell        *cell.Cell
+	homes       *home.Set
+	suspects    *admission.Suspects
+	suspectGate *admission.SuspectGate
+	guard       *once.Guard
+	responder   *once.Responder
+	entry       *entry.Entry
+	moves       *moves
 
 	callers   *entry.Server
 	peers     *server
@@ -95,12 +95,12 @@
 	d.suspects = admission.NewSuspects(d.clk, d.strikes.tell)
 	d.homes = home.NewSet(
 		home.WithLeaseEnd(func() time.Duration { return d.cell.LeaseEnd() }),
-		home.WithCrash(d.suspects.Crashed),
+		home.WithCrash(d.suspects.RecordCrash),
 		home.WithTargets(func(s *catalogue.Searcher) *searcher.Target {
 			return searcher.NewTargetOf(s, searcher.WithReplyLimit(cfg.SearcherReplyBytes()))
 		}),
 	)
-	d.trial = admission.NewTrial(d.suspects, d.homes.Do)
+	d.suspectGate = admission.NewSuspectGate(d.suspects, d.homes.Do)
 	d.newCell()
 	d.newEntry()
 	d.moves = newMoves(d.clk, d.store, d.cell, d.homes, d.incarnation, d.client.Report)
@@ -124,13 +124,13 @@
 		}),
 		cell.WithSeeds(d.cfg.Peers()),
 		cell.WithRelease(d.release),
-		cell.WithAdopt(d.adopt),
+		cell.WithImport(d.adopt),
 	}
 	if d.vms != nil {
 		options = append(options, cell.WithVMs(listed(d.cfg.Name(), d.cfg.VMListInterval(), d.vms.List, d.clk.Boot)))
 	}
 	d.cell = cell.New(self, options...)
-	d.source = shareSource{key: d.cell.ShareKey, share: d.cell.Share, applied: d.cell.Applied}
+	d.source = shareSource{key: d.cell.ShareKey, share: d.cell.Share, applied: d.cell.ConfirmShares}
 	d.cell.OnChange(func() {
 		select {
 		case d.changed <- struct{}{}:
@@ -148,11 +148,11 @@
 	d.entry = entry.New(
 		d.fleet(),
 		entry.WithAdmission(limiter.Admit),
-		entry.WithStanding(d.standing),
+		entry.WithSuspectState(d.standing),
 		entry.WithOnce(own, d.incarnation),
-		entry.WithKeep(d.cfg.AddressTTL()),
+		entry.WithAddressTTL(d.cfg.AddressTTL()),
 	)
-	d.guard = once.NewGuard(relayed, d.trial.Do)
+	d.guard = once.NewGuard(relayed, d.suspectGate.Do)
 	d.responder = once.NewResponder(d.incarnation, d.entry.Now, own, relayed)
 }
 
@@ -167,7 +167,7 @@
 	d.tasks.Go(d.refreshLoop)
 	d.tasks.Go(func() { d.moves.run(d.ctx) })
 	d.tasks.Go(func() { d.strikes.run(d.ctx, d.clk, d.suspects) })
-	probes := &prober{client: d.client, others: d.others, outcome: d.entry.Contacted}
+	probes := &prober{client: d.client, others: d.others, outcome: d.entry.RecordContact}
 	d.tasks.Go(func() { probes.run(d.ctx, d.clk) })
 	d.serve("callers", d.listeners.callers, d.callers.Serve)
 	log.Info().Str("incarnation", d.incarnation).Str("callers", d.listeners.callers.Addr().String()).
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -19,10 +19,10 @@
 			v := d.view.Load()
 			return v.estate, v.known
 		},
-		Order: func(group string) []entry.Home { return d.view.Load().homes[group] },
-		Local: func(ctx context.Context, r shard.Request) shard.Result { return d.withHeld(d.trial.Do(ctx, r)) },
-		Held:  func(group string) []shard.Label { return d.homes.Held(group) },
-		Relay: d.relay,
+		PreferenceList:     func(group string) []entry.Home { return d.view.Load().homes[group] },
+		Local:              func(ctx context.Context, r shard.Request) shard.Result { return d.withHeld(d.suspectGate.Do(ctx, r)) },
+		AvailableSnapshots: func(group string) []shard.Label { return d.homes.AvailableSnapshots(group) },
+		Relay:              d.relay,
 		Outcome: func(ctx context.Context, to entry.Home, in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
 			return d.client.Outcome(ctx, to.PeerAddress(), in)
 		},
@@ -58,7 +58,7 @@
 	return list
 }
 
-func (d *daemon) standing(fingerprint uint64) entry.Standing {
+func (d *daemon) standing(fingerprint uint64) entry.SuspectState {
 	switch d.suspects.Crashes(fingerprint) {
 	case 0:
 		return entry.Clean
@@ -120,13 +120,13 @@
 	if r.Kind() != refusal.None {
 		return r
 	}
-	held := d.homes.Held(r.Group())
+	held := d.homes.AvailableSnapshots(r.Group())
 	if len(held) == 0 || held[0] == r.Label() {
 		return r
 	}
 	return shard.NewResult(shard.ResultSpec{
 		Kind: r.Kind(), Ran: r.Ran(), Shard: r.Shard(), Group: r.Group(), Searcher: r.Searcher(),
 		Version: r.Version(), Label: r.Label(), Hits: r.Hits(), Body: r.Body(), Attempts: r.Attempts(),
-		Crashed: r.Crashed(), Held: held, Detail: r.Detail(),
+		Crashed: r.Crashed(), AvailableSnapshots: held, Detail: r.Detail(),
 	})
 }
--- a/daemon/handlers.go
+++ b/daemon/handlers.go
@@ -39,7 +39,7 @@
 func (d *daemon) adopt(groups []*peerpb.ReleasedGroup) {
 	for _, g := range groups {
 		if g != nil {
-			d.homes.Adopt(g.Group, releasedIn(g))
+			d.homes.ImportEstimates(g.Group, releasedIn(g))
 		}
 	}
 }
--- a/daemon/listed_test.go
+++ b/daemon/listed_test.go
@@ -69,7 +69,7 @@
 		}
 		d.start()
 		daemons = append(daemons, d)
-		y.until("keeper", daemons[0].cell.IsKeeper)
+		y.until("keeper", daemons[0].cell.IsLeader)
 	}
 	stays, lost := daemons[0], daemons[1]
 	defer stays.kill()
--- a/daemon/moves.go
+++ b/daemon/moves.go
@@ -42,7 +42,7 @@
 ) *moves {
 	return &moves{
 		clk: clk, cell: c, homes: homes, incarnation: incarnation, report: report,
-		controller: move.NewController(clk, s, rand.Text, move.WithHolds(c.IsKeeper)),
+		controller: move.NewController(clk, s, rand.Text, move.WithHolds(c.IsLeader)),
 		follower:   move.NewFollower(clk, homes.SetMoveShare),
 	}
 }
@@ -67,11 +67,11 @@
 	defer cancel()
 	evidence := m.evidence(estate)
 	m.follower.Observe(evidence)
-	if m.cell.IsKeeper() {
+	if m.cell.IsLeader() {
 		m.control(ctx, estate, evidence)
 		return
 	}
-	keeper, ok := m.cell.Keeper()
+	keeper, ok := m.cell.Leader()
 	if !ok {
 		return
 	}
@@ -106,7 +106,7 @@
 // serveReport takes the evidence of another daemon. Only the keeper announces
 // shares: a former one may know old states only.
 func (m *moves) serveReport(_ context.Context, in *peerpb.ReportRequest) (*peerpb.ReportReply, error) {
-	if !m.cell.IsKeeper() {
+	if !m.cell.IsLeader() {
 		return &peerpb.ReportReply{}, nil
 	}
 	m.controller.Report(in.GetIncarnation(), evidenceIn(in))
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -113,11 +113,11 @@
 		st := serviceStatus{
 			Name: s.Name(), Policy: string(s.Policy()),
 			inForce: inForce{
-				Asked: fmt.Sprintf("generation %d", c.Asked), InForce: fmt.Sprintf("generation %d", c.InForce),
+				Asked: fmt.Sprintf("generation %d", c.HighestGeneration), InForce: fmt.Sprintf("generation %d", c.InForce),
 				Since: c.InForceSince, WhyNot: c.Refused,
 			},
 		}
-		if c.Asked > c.InForce && st.WhyNot == "" {
+		if c.HighestGeneration > c.InForce && st.WhyNot == "" {
 			st.WhyNot = "the newer catalogue has not been read yet"
 		}
 		st.Moves = d.moveStatus(s.Name())
@@ -172,7 +172,7 @@
 		return st
 	}
 	st.Queued, st.InFlight = h.Queued(), h.InFlight()
-	for _, l := range d.homes.Held(g.ID()) {
+	for _, l := range d.homes.AvailableSnapshots(g.ID()) {
 		st.Snapshots = append(st.Snapshots, l.Snapshot())
 	}
 	for _, s := range h.Searchers() {
--- a/daemon/strikebroadcast.go
+++ b/daemon/strikebroadcast.go
@@ -56,7 +56,7 @@
 			h.send(ctx, strikes)
 		case <-t.C():
 			t.Reset(repeatInterval)
-			if strikes := s.Strikes(repeatStrikes); len(strikes) > 0 {
+			if strikes := s.CrashReports(repeatStrikes); len(strikes) > 0 {
 				h.send(ctx, strikes)
 			}
 		}
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -64,7 +64,7 @@
 	for _, s := range v.estate.Services() {
 		for _, g := range s.Groups() {
 			v.groups = append(v.groups, g)
-			order := d.cell.Order(g)
+			order := d.cell.PreferenceList(g)
 			list := make([]entry.Home, 0, len(order))
 			for _, m := range order {
 				h, ok := homes[m.Name()]
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -59,7 +59,7 @@
 		return batches
 	}
 	if h.Self() {
-		if labels := s.e.fleet.Held(group); len(labels) > 0 {
+		if labels := s.e.fleet.AvailableSnapshots(group); len(labels) > 0 {
 			s.e.table.learn(group, labels)
 		}
 		return batches
@@ -77,8 +77,8 @@
 	}
 	s.e.reach.answered(b.home)
 	for _, r := range results {
-		if b.contains(r) && len(r.Held()) > 0 {
-			s.e.table.learn(r.Group(), r.Held())
+		if b.contains(r) && len(r.AvailableSnapshots()) > 0 {
+			s.e.table.learn(r.Group(), r.AvailableSnapshots())
 		}
 	}
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -31,7 +31,7 @@
 		ID: r.id, Owner: r.owner, Class: r.class, Service: s.Name(), Route: r.route,
 		Shard: groups.shard, Group: groups.groups[xxhash.Sum64String(r.id)%n],
 		Deadline: deadline, Fingerprint: r.Fingerprint(), Body: r.body,
-		Suspect: e.standing(r.Fingerprint()) == Suspect,
+		Suspect: e.suspectState(r.Fingerprint()) == Suspect,
 	}}
 }
 
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -102,10 +102,10 @@
 			}
 			estate := catalogue.NewEstate(catalogue.EstateSpec{Generation: 1, Services: []*catalogue.Service{s}})
 			e := New(Fleet{
-				Estate: func() (catalogue.Estate, bool) { return estate, true },
-				Order:  func(g string) []Home { return orders[byGroup[g]%7] },
-				Local:  func(_ context.Context, r shard.Request) shard.Result { return results[byGroup[r.Group()]] },
-				Held:   func(g string) []shard.Label { return []shard.Label{benchLabel(byGroup[g], n, 2)} },
+				Estate:             func() (catalogue.Estate, bool) { return estate, true },
+				PreferenceList:     func(g string) []Home { return orders[byGroup[g]%7] },
+				Local:              func(_ context.Context, r shard.Request) shard.Result { return results[byGroup[r.Group()]] },
+				AvailableSnapshots: func(g string) []shard.Label { return []shard.Label{benchLabel(byGroup[g], n, 2)} },
 				Relay: func(_ context.Context, _ Home, batch []shard.Request) ([]shard.Result, error) {
 					out := make([]shard.Result, len(batch))
 					for i, r := range batch {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,10 +26,10 @@
 	inFlight    atomic.Int64
 	closing     atomic.Bool
 
-	admit    func(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error)
-	standing func(fingerprint uint64) Standing
-	keep     time.Duration
-	origin   time.Time // Wall time at boot, read once.
+	admit        func(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error)
+	suspectState func(fingerprint uint64) SuspectState
+	addressTTL   time.Duration
+	origin       time.Time // Wall time at boot, read once.
 }
 
 // Option changes how New builds an Entry.
@@ -44,13 +44,13 @@
 	return func(e *Entry) { e.admit = f }
 }
 
-// WithStanding sets the lookup of fingerprints that crashed searchers.
-func WithStanding(f func(fingerprint uint64) Standing) Option {
-	return func(e *Entry) { e.standing = f }
+// WithSuspectState sets the lookup of fingerprints that crashed searchers.
+func WithSuspectState(f func(fingerprint uint64) SuspectState) Option {
+	return func(e *Entry) { e.suspectState = f }
 }
 
-// WithKeep sets how long callers may keep the address answer.
-func WithKeep(d time.Duration) Option { return func(e *Entry) { e.keep = d } }
+// WithAddressTTL sets how long callers may keep the address answer.
+func WithAddressTTL(d time.Duration) Option { return func(e *Entry) { e.addressTTL = d } }
 
 // WithOnce sets the identifier table of non-idempotent requests and the
 // incarnation that they belong to.
@@ -66,8 +66,8 @@
 		admit: func(catalogue.Estate, string, catalogue.Class, *catalogue.Service) (func(), error) {
 			return func() {}, nil
 		},
-		standing: func(uint64) Standing { return Clean },
-		keep:     defaultKeep,
+		suspectState: func(uint64) SuspectState { return Clean },
+		addressTTL:   defaultKeep,
 	}
 	for _, o := range opts {
 		o(e)
@@ -90,8 +90,8 @@
 // InFlight returns the number of requests in flight.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Contacted records whether a daemon answered a call of another part.
-func (e *Entry) Contacted(h Home, answered bool) {
+// RecordContact records whether a daemon answered a call of another part.
+func (e *Entry) RecordContact(h Home, answered bool) {
 	if answered {
 		e.reach.answered(h)
 	} else {
--- a/entry/failover_test.go
+++ b/entry/failover_test.go
@@ -109,7 +109,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(t, 1)
 			taken := w.record("")
-			w.e.standing = func(uint64) Standing { return Suspect }
+			w.e.suspectState = func(uint64) SuspectState { return Suspect }
 			for i := range worldShards {
 				w.e.table.learn(groupID(i), w.labels(groupID(i)))
 			}
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -73,13 +73,13 @@
 	own, relayed := once.NewTable(opts...), once.NewTable(opts...)
 	n.guard = once.NewGuard(relayed, n.search)
 	n.e = New(Fleet{
-		Estate:  func() (catalogue.Estate, bool) { return y.estate, true },
-		Order:   n.order,
-		Local:   n.search,
-		Held:    func(string) []shard.Label { return nil },
-		Relay:   n.relay,
-		Outcome: n.outcome,
-		Member:  y.member,
+		Estate:             func() (catalogue.Estate, bool) { return y.estate, true },
+		PreferenceList:     n.order,
+		Local:              n.search,
+		AvailableSnapshots: func(string) []shard.Label { return nil },
+		Relay:              n.relay,
+		Outcome:            n.outcome,
+		Member:             y.member,
 	}, WithClock(y.clk), WithOnce(own, n.home.Incarnation()))
 	n.desk = once.NewResponder(n.home.Incarnation(), n.e.Now, own, relayed)
 	y.slots[i] = n
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -14,12 +14,12 @@
 type Fleet struct {
 	// Estate returns the catalogue in force; ok is false before the first one.
 	Estate func() (estate catalogue.Estate, ok bool)
-	// Order returns the daemons that may serve a group, the home first.
-	Order func(group string) []Home
+	// PreferenceList returns the daemons that may serve a group, the home first.
+	PreferenceList func(group string) []Home
 	// Local sends one request to this daemon's own home.
 	Local func(ctx context.Context, r shard.Request) shard.Result
-	// Held returns the labels that this daemon's own home knows of a group.
-	Held func(group string) []shard.Label
+	// AvailableSnapshots returns the labels that this daemon's own home knows of a group.
+	AvailableSnapshots func(group string) []shard.Label
 	// Relay sends the requests of one query to another daemon in one call. An
 	// error means that the daemon gave no answer; refusal.Of(err).Ran() is
 	// NotRun only when no byte of the call was written.
--- a/entry/pick.go
+++ b/entry/pick.go
@@ -9,7 +9,7 @@
 	if len(tried) >= maxCandidates {
 		return Home{}, false, false
 	}
-	order := e.fleet.Order(group)
+	order := e.fleet.PreferenceList(group)
 	order = order[:min(len(order), maxCandidates)]
 	for i, c := range order {
 		if !slices.Contains(tried, c.Name()) && e.reach.up(c) {
--- a/entry/run.go
+++ b/entry/run.go
@@ -139,7 +139,7 @@
 		return refusal.New(refusal.Malformed, "service: %q takes no non-idempotent requests", s.Name())
 	case len(s.Shards()) != 1:
 		return refusal.New(refusal.Malformed, "service: %q is sharded", s.Name())
-	case e.standing(r.Fingerprint()) == Refused:
+	case e.suspectState(r.Fingerprint()) == Refused:
 		return refusal.New(refusal.Poisoned, "equal requests crashed searchers twice")
 	}
 	return nil
--- a/entry/search.go
+++ b/entry/search.go
@@ -32,7 +32,7 @@
 	}
 	defer release()
 	fp := q.Fingerprint()
-	standing := e.standing(fp)
+	standing := e.suspectState(fp)
 	if standing == Refused {
 		return nil, refusal.New(refusal.Poisoned, "equal requests crashed searchers twice")
 	}
--- a/entry/server.go
+++ b/entry/server.go
@@ -93,7 +93,7 @@
 	list := s.e.fleet.Addresses()
 	out := addressesReply{
 		Addresses: make([]addressReply, 0, len(list)),
-		KeepMS:    s.e.keep.Milliseconds(),
+		KeepMS:    s.e.addressTTL.Milliseconds(),
 		IssuedMS:  s.e.Now().UnixMilli(),
 	}
 	for _, a := range list {
--- a/entry/standing.go
+++ b/entry/standing.go
@@ -1,12 +1,12 @@
 package entry
 
-// Standing is what is known of a request's fingerprint.
-type Standing int
+// SuspectState is what is known of a request's fingerprint.
+type SuspectState int
 
-// The standings.
+// The states.
 const (
 	// Clean is a fingerprint without a crash.
-	Clean Standing = iota
+	Clean SuspectState = iota
 	// Suspect is a fingerprint whose first run crashed a searcher.
 	Suspect
 	// Refused is a fingerprint whose second run crashed a searcher as well.
--- a/entry/take.go
+++ b/entry/take.go
@@ -47,8 +47,8 @@
 // accept merges a result into its lane. It reports whether the lane should be
 // sent to the next daemon because this one did not serve it.
 func (f *fanout) accept(l *lane, r *shard.Result) (again bool) {
-	if len(r.Held()) > 0 {
-		f.s.e.table.learn(l.group, r.Held())
+	if len(r.AvailableSnapshots()) > 0 {
+		f.s.e.table.learn(l.group, r.AvailableSnapshots())
 	}
 	if l.merged {
 		meter.Count("entry.result.late", 1)
@@ -65,7 +65,7 @@
 		if !l.known {
 			l.label, l.known = r.Label(), true
 		}
-		if len(r.Held()) == 0 {
+		if len(r.AvailableSnapshots()) == 0 {
 			f.s.e.table.confirm(l.group, r.Label())
 		}
 		return false
--- a/entry/world_test.go
+++ b/entry/world_test.go
@@ -72,13 +72,13 @@
 	}
 	w.e = New(Fleet{
 		Estate: func() (catalogue.Estate, bool) { return w.estate, true },
-		Order: func(group string) []Home {
+		PreferenceList: func(group string) []Home {
 			k := int(group[len("songs/s")]-'0') % len(homes)
 			return append(append([]Home(nil), homes[k:]...), homes[:k]...)
 		},
-		Local: func(ctx context.Context, r shard.Request) shard.Result { return w.serve(ctx, r) },
-		Held:  w.labels,
-		Relay: w.relay,
+		Local:              func(ctx context.Context, r shard.Request) shard.Result { return w.serve(ctx, r) },
+		AvailableSnapshots: w.labels,
+		Relay:              w.relay,
 	}, WithClock(w.clk))
 	return w
 }
@@ -175,7 +175,7 @@
 func (w *world) serve(ctx context.Context, r shard.Request) shard.Result {
 	spec := shard.ResultSpec{Kind: refusal.SnapshotGone, Ran: refusal.NotRun, Shard: r.Shard(), Group: r.Group()}
 	if r.Snapshot() == askSnapshot {
-		spec.Held = w.labels(r.Group())
+		spec.AvailableSnapshots = w.labels(r.Group())
 		return shard.NewResult(spec)
 	}
 	time.Sleep(time.Duration(1+w.random(40)) * time.Millisecond)
@@ -200,7 +200,7 @@
 			return w.answer(spec, r, l)
 		}
 	}
-	spec.Held = w.labels(r.Group())
+	spec.AvailableSnapshots = w.labels(r.Group())
 	return shard.NewResult(spec)
 }
 
@@ -230,7 +230,7 @@
 	}
 	spec.Kind, spec.Ran, spec.Label = refusal.None, refusal.DidRun, l
 	if held := w.labels(r.Group()); held[0] != l {
-		spec.Held = held
+		spec.AvailableSnapshots = held
 	}
 	spec.Hits = documents(l.Snapshot(), l.Low(), l.High())
 	return shard.NewResult(spec)
--- a/home/dispatch.go
+++ b/home/dispatch.go
@@ -147,7 +147,7 @@
 		Body:      req.Body(),
 		Patience:  g.patience(a.t),
 		Permit:    func() *refusal.Error { return g.permit(a) },
-		Silent:    func() { g.silent(a) },
+		OnSilent:  func() { g.silent(a) },
 	})
 }
 
--- a/home/fake_test.go
+++ b/home/fake_test.go
@@ -113,7 +113,7 @@
 		x.patience = f.c.AfterFunc(call.Patience(), func() {
 			if !f.silent && !f.dead {
 				x.tested = true
-				call.Silent()
+				call.ReportSilent()
 			}
 		})
 	}
--- a/home/release.go
+++ b/home/release.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Adopt starts the group's estimates from those of the previous home. It may
+// ImportEstimates starts the group's estimates from those of the previous home. It may
 // come before the assignment that makes this daemon the home.
-func (s *Set) Adopt(group string, r Released) {
+func (s *Set) ImportEstimates(group string, r Released) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[group]; g != nil {
--- a/home/result.go
+++ b/home/result.go
@@ -53,7 +53,7 @@
 	}
 	spec := shard.ResultSpec{Kind: kind, Ran: ran, Crashed: t.crashed, Detail: e.Detail()}
 	if kind == refusal.SnapshotGone {
-		spec.Held = g.held()
+		spec.AvailableSnapshots = g.held()
 	}
 	meter.Refused("home", kind)
 	g.finish(t, spec)
--- a/home/rules_test.go
+++ b/home/rules_test.go
@@ -96,7 +96,7 @@
 	y.fakes["s00-0"].snapshots, y.fakes["s00-1"].snapshots = []uint64{2}, []uint64{2, 3}
 	y.c.run(time.Second)
 	r := y.one(shard.RequestSpec{Idempotent: true, Snapshot: 1})
-	held := r.Held()
+	held := r.AvailableSnapshots()
 	if r.Kind() != refusal.SnapshotGone || r.Ran() != refusal.NotRun || len(held) != 2 || held[0].Snapshot() != 3 {
 		t.Errorf("got %s, ran %s, held %+v", r.Kind(), r.Ran(), held)
 	}
@@ -193,7 +193,7 @@
 	}
 	y.share = lease.None
 	y.apply()
-	y.sets[0].Adopt(id, released[0])
+	y.sets[0].ImportEstimates(id, released[0])
 	y.share = lease.Reserved
 	y.apply()
 	if s := y.sets[0].Status()[0].Searchers()[0]; s.Limit() != 2 || s.Latency() == defaultLatency {
--- a/home/set.go
+++ b/home/set.go
@@ -90,9 +90,9 @@
 	})
 }
 
-// Held returns the labels of the snapshots that the group can serve now, newest
+// AvailableSnapshots returns the labels of the snapshots that the group can serve now, newest
 // first.
-func (s *Set) Held(group string) []shard.Label {
+func (s *Set) AvailableSnapshots(group string) []shard.Label {
 	g := s.group(group)
 	if g == nil {
 		return nil
--- a/home/storm_test.go
+++ b/home/storm_test.go
@@ -123,7 +123,7 @@
 	s.share = lease.Full
 	s.c.AfterFunc(100*time.Millisecond, func() {
 		for _, r := range released {
-			s.sets[0].Adopt(id, r)
+			s.sets[0].ImportEstimates(id, r)
 		}
 		s.apply()
 	})
--- a/node/apply.go
+++ b/node/apply.go
@@ -70,7 +70,7 @@
 
 func (d *Daemon) newGroup(service string) *targets.Group {
 	return targets.NewGroup(service, platform.TargetProtocol(),
-		targets.Clock(d.clock), targets.Near(d.settings.Zone()), targets.Log(d.log),
+		targets.Clock(d.clock), targets.PreferDomain(d.settings.Zone()), targets.Log(d.log),
 		targets.OnCrash(d.engine.Crashed), targets.ReportTo(d.reports),
 		targets.Dial(func(ctx context.Context, address string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp4", address)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -89,7 +89,7 @@
 	go func() { done <- t.Listen(l) }()
 	c.t.Cleanup(func() {
 		_ = l.Close()
-		t.Become(shards.NewBehaviour(0, shards.Down()))
+		t.SetBehaviour(shards.NewBehaviour(0, shards.Down()))
 		<-done
 	})
 	c.entries[id] = platformtest.NewTarget(service, l.Addr().String(), "a", 4)
--- a/node/daemon_test.go
+++ b/node/daemon_test.go
@@ -85,11 +85,11 @@
 		fault func(s *metastore.Store)
 	}{
 		{"sound", func(*metastore.Store) {}},
-		{"deaf watches", func(s *metastore.Store) { s.Inject(metastore.Deaf()) }},
+		{"deaf watches", func(s *metastore.Store) { s.Inject(metastore.StalledWatches()) }},
 		{"dropped history", func(s *metastore.Store) { s.Compact() }},
 		{"after an outage", func(s *metastore.Store) {
 			s.Inject(metastore.Down())
-			time.AfterFunc(time.Second, func() { s.Inject(metastore.Sound()) })
+			time.AfterFunc(time.Second, func() { s.Inject(metastore.Healthy()) })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 		}
 		return false
 	})
-	c.store.Inject(metastore.Sound())
+	c.store.Inject(metastore.Healthy())
 }
 
 // Guards against requests that are cut off by a planned shutdown, and against
@@ -131,7 +131,7 @@
 	c := newCluster(t, 2, 2)
 	leaving := c.daemons[1]
 	for _, target := range c.targets {
-		target.Become(shards.NewBehaviour(150*time.Millisecond, shards.Slots(4)))
+		target.SetBehaviour(shards.NewBehaviour(150*time.Millisecond, shards.Slots(4)))
 	}
 	results := make(chan reply, 8)
 	for i := range 8 {
--- a/node/moves_test.go
+++ b/node/moves_test.go
@@ -23,7 +23,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			cl := newCluster(t, 2, 1)
 			cl.addTarget("shard0-new", "shard0")
-			cl.targets[len(cl.targets)-1].Become(c.b)
+			cl.targets[len(cl.targets)-1].SetBehaviour(c.b)
 			cl.setVersion("shard0-new", "v2")
 			cl.store.Put("rollouts", "shard0", map[string]any{"service": "shard0", "target_version": "v2", "duration_s": 3})
 			n := 0
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -53,7 +53,7 @@
 		StoreAgeMs: uint32(min(d.follower.StoreAge(), time.Hour).Milliseconds()),
 		Versions:   d.mirror.Versions(),
 		Moves:      d.moveEvidence(),
-		Strikes:    d.suspects.Strikes(maxStrikes),
+		Strikes:    d.suspects.CrashReports(maxStrikes),
 		Reports:    d.targetReports(),
 	}
 }
--- a/node/reports.go
+++ b/node/reports.go
@@ -99,6 +99,6 @@
 	groups := d.groups
 	d.mu.Unlock()
 	for _, g := range groups {
-		g.Hear(fresh)
+		g.MergeReports(fresh)
 	}
 }
--- a/node/roster.go
+++ b/node/roster.go
@@ -70,7 +70,7 @@
 				next = expires
 			}
 		}
-		if l.entry.Draining() || evacuated[l.entry.Zone()] {
+		if l.entry.Draining() || evacuated[l.entry.Domain()] {
 			continue
 		}
 		byService[l.entry.Service()] = append(byService[l.entry.Service()], l.entry)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -63,7 +63,7 @@
 		shard.NewResult(shard.ResultSpec{
 			Kind: refusal.Cold, Ran: refusal.NotRun, Shard: "s", Group: "g", Searcher: "r", Version: "v", Label: label,
 			Hits: []shard.Hit{shard.NewHit(shard.HitSpec{ID: "h", Score: 1.5, Data: []byte("d")})},
-			Body: []byte("b"), Attempts: 2, Crashed: true, Held: []shard.Label{label}, Detail: "d",
+			Body: []byte("b"), Attempts: 2, Crashed: true, AvailableSnapshots: []shard.Label{label}, Detail: "d",
 		}),
 		shard.NewResult(shard.ResultSpec{Ran: refusal.DidRun, Group: "h"}),
 	}
--- a/peer/result.go
+++ b/peer/result.go
@@ -50,7 +50,7 @@
 	for _, h := range r.Hits() {
 		out.Hits = append(out.Hits, &peerpb.Hit{Id: h.ID(), Score: h.Score(), Data: h.Data()})
 	}
-	held := r.Held()
+	held := r.AvailableSnapshots()
 	for _, l := range held[:min(len(held), maxHeld)] {
 		out.Held = append(out.Held, labelOut(l))
 	}
@@ -75,7 +75,7 @@
 		spec.Hits = append(spec.Hits, shard.NewHit(shard.HitSpec{ID: h.GetId(), Score: h.GetScore(), Data: h.GetData()}))
 	}
 	for _, l := range m.Held {
-		spec.Held = append(spec.Held, labelIn(l))
+		spec.AvailableSnapshots = append(spec.AvailableSnapshots, labelIn(l))
 	}
 	return shard.NewResult(spec)
 }
--- a/query/engine.go
+++ b/query/engine.go
@@ -137,9 +137,9 @@
 func (e *Engine) Crashed(fingerprint uint64) {
 	switch {
 	case e.crash.Crashes(fingerprint) == 0:
-		e.crash.Crashed(fingerprint)
+		e.crash.RecordCrash(fingerprint)
 	case e.crash.Age(fingerprint) > crashRound:
-		e.crash.CrashedAgain(fingerprint)
+		e.crash.RecordRepeatCrash(fingerprint)
 	}
 	e.log.Warn().Uint64("fingerprint", fingerprint).Int("crashes", e.crash.Crashes(fingerprint)).
 		Msg("target crashed while it worked on a request")
--- a/query/gather.go
+++ b/query/gather.go
@@ -132,7 +132,7 @@
 		return
 	}
 	r.suspect = 0
-	r.crash.Cleared(r.send.Fingerprint())
+	r.crash.Clear(r.send.Fingerprint())
 	r.sendAll(parts, now)
 }
 
--- a/query/load_test.go
+++ b/query/load_test.go
@@ -53,14 +53,14 @@
 		defer w.close()
 		w.load(15, 3*time.Second)
 		for i := range 3 {
-			w.targets[fmt.Sprintf("shard%d", i)][0].Become(sound(shards.Slow(9)))
+			w.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(sound(shards.Slow(9)))
 		}
 		inTime, coverage := served(w.load(15, 8*time.Second), objective)
 		if inTime < 0.97 || coverage < 0.99 {
 			t.Errorf("while slow: %.4f in time with %.4f of the parts, want 0.97 and 0.99", inTime, coverage)
 		}
 		for i := range 3 {
-			w.targets[fmt.Sprintf("shard%d", i)][0].Become(sound())
+			w.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(sound())
 		}
 		w.load(15, 3*time.Second)
 		before := len(w.targets["shard0"][0].Runs())
@@ -74,14 +74,14 @@
 // Guards against waiting for a shard without any target, and against a success
 // that hides how much is missing.
 func TestShardWithoutTargetsIsLeftOut(t *testing.T) {
-	for name, b := range map[string]shards.Option{"down": shards.Down(), "dark": shards.Dark()} {
+	for name, b := range map[string]shards.Option{"down": shards.Down(), "dark": shards.Blackhole()} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3, 20, sound())
 				defer w.close()
 				w.load(15, 2*time.Second)
 				for _, tgt := range w.targets["shard7"] {
-					tgt.Become(sound(b))
+					tgt.SetBehaviour(sound(b))
 				}
 				replies := w.load(15, 4*time.Second)
 				inTime, _ := served(replies, objective)
@@ -110,7 +110,7 @@
 		w.load(20, 3*time.Second)
 		for i := range 4 {
 			for _, tgt := range w.targets[fmt.Sprintf("shard%d", i)] {
-				tgt.Become(sound(shards.Slow(12)))
+				tgt.SetBehaviour(sound(shards.Slow(12)))
 			}
 		}
 		w.load(20, 2*time.Second)
@@ -143,7 +143,7 @@
 		defer w.close()
 		for i := range 5 {
 			for _, tgt := range w.targets[fmt.Sprintf("shard%d", i)] {
-				tgt.Become(sound(shards.Down()))
+				tgt.SetBehaviour(sound(shards.Down()))
 			}
 		}
 		w.load(20, time.Second)
@@ -173,8 +173,8 @@
 			defer w.close()
 			for i := range 6 {
 				ts := w.targets[fmt.Sprintf("shard%d", i)]
-				ts[0].Become(sound(shards.Failing(0.2), shards.Losing(0.1), shards.Doubling(0.2)))
-				ts[1].Become(sound(shards.Shedding(0.2), shards.Doubling(0.2)))
+				ts[0].SetBehaviour(sound(shards.Failing(0.2), shards.DroppingReplies(0.1), shards.Duplicating(0.2)))
+				ts[1].SetBehaviour(sound(shards.Shedding(0.2), shards.Duplicating(0.2)))
 			}
 			for i := range 200 {
 				id := fmt.Sprintf("q%d", i)
@@ -230,7 +230,7 @@
 		defer w.close()
 		for _, ts := range w.targets {
 			for _, tgt := range ts {
-				tgt.Become(sound(shards.Failing(0.5), shards.Shedding(0.3)))
+				tgt.SetBehaviour(sound(shards.Failing(0.5), shards.Shedding(0.3)))
 			}
 		}
 		replies := w.load(40, 10*time.Second)
@@ -265,7 +265,7 @@
 		defer w.close()
 		for _, ts := range w.targets {
 			for _, tgt := range ts {
-				tgt.Become(sound(shards.Silent()))
+				tgt.SetBehaviour(sound(shards.Silent()))
 			}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -292,7 +292,7 @@
 		g := w.groups["shard0"]
 		g.Update(nil)
 		for _, tgt := range w.targets["shard1"] {
-			tgt.Become(sound(shards.Silent())) // The answer waits until the objective.
+			tgt.SetBehaviour(sound(shards.Silent())) // The answer waits until the objective.
 		}
 		before := g.Budget()
 		w.ask(context.Background(), "q")
@@ -345,13 +345,13 @@
 		for range 5 {
 			time.AfterFunc(5*time.Millisecond, func() {
 				for _, ts := range w.targets {
-					ts[0].Become(sound(shards.Down()))
+					ts[0].SetBehaviour(sound(shards.Down()))
 				}
 			})
 			w.ask(context.Background(), "bystander")
 			time.Sleep(time.Second)
 			for _, ts := range w.targets {
-				ts[0].Become(sound())
+				ts[0].SetBehaviour(sound())
 			}
 			time.Sleep(2 * time.Second)
 			if r := w.ask(context.Background(), "bystander"); r.parts != 4 {
--- a/query/single.go
+++ b/query/single.go
@@ -30,7 +30,7 @@
 			r.noteResult(p, c)
 			if p.answer != nil {
 				if r.suspect > 0 {
-					r.crash.Cleared(r.send.Fingerprint())
+					r.crash.Clear(r.send.Fingerprint())
 				}
 				kept = p.answer
 				return r.relay(p, kept)
--- a/query/world_test.go
+++ b/query/world_test.go
@@ -61,14 +61,14 @@
 }
 
 func (w *world) add(name string, b shards.Behaviour) {
-	g := targets.NewGroup(name, platform.TargetProtocol(), targets.Dial(w.emulator.Dial), targets.Near("a"), targets.Clock(simulated{}),
+	g := targets.NewGroup(name, platform.TargetProtocol(), targets.Dial(w.emulator.Dial), targets.PreferDomain("a"), targets.Clock(simulated{}),
 		targets.OnCrash(func(fingerprint uint64) { w.engine.Crashed(fingerprint) }))
 	g.Resize(targets.NewSizing(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
 	var entries []targets.Entry
 	for i, zone := range []string{"a", "b"} {
 		e := w.emulator.Add(fmt.Sprintf("%s-%d", name, i), b)
 		w.targets[name] = append(w.targets[name], e)
-		entries = append(entries, targets.NewEntry(e.ID(), name, e.Address(), targets.Zone(zone, "r"), targets.Slots(2)))
+		entries = append(entries, targets.NewEntry(e.ID(), name, e.Address(), targets.Domain(zone, "r"), targets.Slots(2)))
 	}
 	g.Update(entries)
 	w.groups[name] = g
@@ -78,7 +78,7 @@
 func (w *world) cool(name string, d time.Duration) {
 	var entries []targets.Entry
 	for _, tgt := range w.targets[name] {
-		entries = append(entries, targets.NewEntry(tgt.ID(), name, tgt.Address(), targets.Zone("a", "r"), targets.Slots(2), targets.WarmLeft(d)))
+		entries = append(entries, targets.NewEntry(tgt.ID(), name, tgt.Address(), targets.Domain("a", "r"), targets.Slots(2), targets.WarmLeft(d)))
 	}
 	w.groups[name].Update(entries)
 }
--- a/searcher/call.go
+++ b/searcher/call.go
@@ -33,9 +33,9 @@
 	// Permit is asked immediately before the first byte is written; a refusal
 	// ends the call as not run. Nil permits.
 	Permit func() *refusal.Error
-	// Silent is called when Patience has passed and a new connection to the
+	// OnSilent is called when Patience has passed and a new connection to the
 	// searcher works. Nil ignores it.
-	Silent func()
+	OnSilent func()
 }
 
 // Call is one request to one searcher.
@@ -84,9 +84,9 @@
 	return c.spec.Permit()
 }
 
-// Silent reports that the connection of the call is silent though the searcher answers.
-func (c Call) Silent() {
-	if c.spec.Silent != nil {
-		c.spec.Silent()
+// ReportSilent reports that the connection of the call is silent though the searcher answers.
+func (c Call) ReportSilent() {
+	if c.spec.OnSilent != nil {
+		c.spec.OnSilent()
 	}
 }
--- a/searcher/exchange.go
+++ b/searcher/exchange.go
@@ -172,7 +172,7 @@
 			return
 		}
 		x.silent.Store(true)
-		x.call.Silent()
+		x.call.ReportSilent()
 	})
 	return func() {
 		answered.Store(true)
--- a/searcher/http_test.go
+++ b/searcher/http_test.go
@@ -256,7 +256,7 @@
 	_, h := newServer(t, func(http.ResponseWriter, *http.Request) { <-leave })
 	defer close(leave)
 	silent := make(chan struct{})
-	out, cancel := start(h, CallSpec{Patience: time.Millisecond, Silent: func() { close(silent) }})
+	out, cancel := start(h, CallSpec{Patience: time.Millisecond, OnSilent: func() { close(silent) }})
 	<-silent
 	cancel()
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultConnection {
--- a/shard/result.go
+++ b/shard/result.go
@@ -28,8 +28,8 @@
 	Attempts int
 	// Crashed is set when the request broke the connections of a searcher that ran it alone.
 	Crashed bool
-	// Held are the labels of the snapshots that the group can serve now.
-	Held []Label
+	// AvailableSnapshots are the labels of the snapshots that the group can serve now.
+	AvailableSnapshots []Label
 	// Detail explains a refusal to a person.
 	Detail string
 }
@@ -77,8 +77,8 @@
 // Crashed is set when the request broke the connections of a searcher that ran it alone.
 func (r Result) Crashed() bool { return r.spec.Crashed }
 
-// Held are the labels of the snapshots that the group can serve now.
-func (r Result) Held() []Label { return r.spec.Held }
+// AvailableSnapshots are the labels of the snapshots that the group can serve now.
+func (r Result) AvailableSnapshots() []Label { return r.spec.AvailableSnapshots }
 
 // Detail explains a refusal to a person.
 func (r Result) Detail() string { return r.spec.Detail }
--- a/standin/metastore/fault.go
+++ b/standin/metastore/fault.go
@@ -4,15 +4,15 @@
 
 // Fault is how calls fail.
 type Fault struct {
-	down  bool
-	hang  bool
-	delay time.Duration
-	lose  bool
-	deaf  bool
+	down            bool
+	hang            bool
+	delay           time.Duration
+	droppingReplies bool
+	stalledWatches  bool
 }
 
-// Sound returns the absence of faults.
-func Sound() Fault { return Fault{} }
+// Healthy returns the absence of faults.
+func Healthy() Fault { return Fault{} }
 
 // Down answers all calls 503.
 func Down() Fault { return Fault{down: true} }
@@ -23,11 +23,11 @@
 // Slow delays all calls.
 func Slow(d time.Duration) Fault { return Fault{delay: d} }
 
-// Losing performs calls and cuts the connection instead of answering.
-func Losing() Fault { return Fault{lose: true} }
+// DroppingReplies performs calls and cuts the connection instead of answering.
+func DroppingReplies() Fault { return Fault{droppingReplies: true} }
 
-// Deaf keeps watches waiting although there are changes.
-func Deaf() Fault { return Fault{deaf: true} }
+// StalledWatches keeps watches waiting although there are changes.
+func StalledWatches() Fault { return Fault{stalledWatches: true} }
 
 // Inject sets the fault in force.
 func (s *Store) Inject(f Fault) {
--- a/standin/metastore/handler.go
+++ b/standin/metastore/handler.go
@@ -35,7 +35,7 @@
 			return
 		}
 		time.Sleep(f.delay)
-		if f.lose {
+		if f.droppingReplies {
 			next(discard{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
@@ -84,7 +84,7 @@
 			return
 		}
 		s.mu.Lock()
-		deaf := s.fault.deaf
+		deaf := s.fault.stalledWatches
 		s.mu.Unlock()
 		if len(events) > 0 && !deaf {
 			reply(w, http.StatusOK, map[string]any{"events": events, "at": at})
--- a/standin/shards/behaviour.go
+++ b/standin/shards/behaviour.go
@@ -4,23 +4,23 @@
 
 // Behaviour is how an emulated target serves.
 type Behaviour struct {
-	slots     int
-	queue     int
-	maxConns  int
-	work      time.Duration
-	spread    float64
-	slowness  float64
-	pause     time.Duration
-	pauseGap  time.Duration
-	failing   float64
-	shedding  float64
-	losing    float64
-	doubling  float64
-	dark      bool
-	down      bool
-	silent    bool
-	handshake time.Duration
-	poison    string
+	slots           int
+	queue           int
+	maxConns        int
+	work            time.Duration
+	spread          float64
+	slowness        float64
+	pause           time.Duration
+	pauseGap        time.Duration
+	failing         float64
+	shedding        float64
+	droppingReplies float64
+	duplicating     float64
+	blackhole       bool
+	down            bool
+	silent          bool
+	handshake       time.Duration
+	poison          string
 }
 
 // Option sets one property of a Behaviour.
@@ -67,15 +67,15 @@
 // Shedding refuses that share of the requests without running them.
 func Shedding(share float64) Option { return func(b *Behaviour) { b.shedding = share } }
 
-// Losing runs that share of the requests and resets the connection instead of
+// DroppingReplies runs that share of the requests and resets the connection instead of
 // answering.
-func Losing(share float64) Option { return func(b *Behaviour) { b.losing = share } }
+func DroppingReplies(share float64) Option { return func(b *Behaviour) { b.droppingReplies = share } }
 
-// Doubling sends that share of the answers twice.
-func Doubling(share float64) Option { return func(b *Behaviour) { b.doubling = share } }
+// Duplicating sends that share of the answers twice.
+func Duplicating(share float64) Option { return func(b *Behaviour) { b.duplicating = share } }
 
-// Dark neither answers nor accepts connections, without a reset.
-func Dark() Option { return func(b *Behaviour) { b.dark = true } }
+// Blackhole neither answers nor accepts connections, without a reset.
+func Blackhole() Option { return func(b *Behaviour) { b.blackhole = true } }
 
 // Down resets all connections and accepts none.
 func Down() Option { return func(b *Behaviour) { b.down = true } }
--- a/standin/shards/emulator.go
+++ b/standin/shards/emulator.go
@@ -54,7 +54,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, t := range e.targets {
-		t.Become(t.behaviour().With(Down()))
+		t.SetBehaviour(t.behaviour().With(Down()))
 	}
 }
 
--- a/standin/shards/target.go
+++ b/standin/shards/target.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Become changes the behaviour. A target that goes down resets its connections.
-func (t *Target) Become(b Behaviour) {
+// SetBehaviour changes the behaviour. A target that goes down resets its connections.
+func (t *Target) SetBehaviour(b Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.b = b
@@ -131,7 +131,7 @@
 	switch {
 	case b.down:
 		return nil, errRefused
-	case b.dark:
+	case b.blackhole:
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -206,20 +206,20 @@
 	}
 	t.work(b, id)
 	t.leave()
-	if b = t.behaviour(); b.dark || b.silent {
+	if b = t.behaviour(); b.blackhole || b.silent {
 		// Nothing is ever answered; the connection stays open until the other
 		// end closes it.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
-	if t.chance(b.losing) {
+	if t.chance(b.droppingReplies) {
 		return false
 	}
 	if t.chance(b.failing) {
 		return write(conn, answer(500, id, t.id, nil))
 	}
 	a := answer(200, id, t.id, Records(t.id, string(req.RequestURI())))
-	if t.chance(b.doubling) {
+	if t.chance(b.duplicating) {
 		a += a
 	}
 	return write(conn, a)
@@ -244,8 +244,8 @@
 	t.mu.Lock()
 	t.crashes++
 	t.mu.Unlock()
-	t.Become(b.With(Down()))
-	time.AfterFunc(restart, func() { t.Become(b) })
+	t.SetBehaviour(b.With(Down()))
+	time.AfterFunc(restart, func() { t.SetBehaviour(b) })
 }
 
 // Crashes returns how often a request crashed the target.
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -39,9 +39,9 @@
 	{"store down", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Down()) }},
 	{"store hangs", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Hanging()) }},
 	{"store slow", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Slow(300*time.Millisecond)) }},
-	{"store loses answers", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Losing()) }},
+	{"store loses answers", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.DroppingReplies()) }},
 	{"store deaf and forgetful", false, func(s *Soak, d time.Duration) {
-		s.storeFault(min(d, time.Second), metastore.Deaf())
+		s.storeFault(min(d, time.Second), metastore.StalledWatches())
 		s.store.Compact()
 	}},
 	{"one daemon without store", false, func(s *Soak, d time.Duration) {
@@ -73,7 +73,7 @@
 	{"target slow", false, func(s *Soak, d time.Duration) { s.become(d, shards.Slow(10)) }},
 	{"target fails", false, func(s *Soak, d time.Duration) { s.become(d, shards.Failing(0.5), shards.Shedding(0.2)) }},
 	{"target doubles and loses answers", false, func(s *Soak, d time.Duration) {
-		s.become(d, shards.Doubling(0.3), shards.Losing(0.2))
+		s.become(d, shards.Duplicating(0.3), shards.DroppingReplies(0.2))
 	}},
 }
 
@@ -83,11 +83,11 @@
 
 func (s *Soak) become(d time.Duration, opts ...shards.Option) {
 	t := s.target()
-	during(d, func() { t.Become(sound().With(opts...)) }, func() { t.Become(sound()) })
+	during(d, func() { t.SetBehaviour(sound().With(opts...)) }, func() { t.SetBehaviour(sound()) })
 }
 
 func (s *Soak) storeFault(d time.Duration, f metastore.Fault) {
-	during(d, func() { s.store.Inject(f) }, func() { s.store.Inject(metastore.Sound()) })
+	during(d, func() { s.store.Inject(f) }, func() { s.store.Inject(metastore.Healthy()) })
 }
 
 // configure writes a new version of the configuration with another extra route.
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -329,7 +329,7 @@
 	for _, t := range s.targets {
 		_ = t.l.Close()
 		t.proxy.close()
-		t.Become(sound().With(shards.Down()))
+		t.SetBehaviour(sound().With(shards.Down()))
 	}
 	if s.server != nil {
 		_ = s.server.Close() // Nothing is lost with the stand-in.
--- a/targets/dispatch.go
+++ b/targets/dispatch.go
@@ -91,7 +91,7 @@
 			g.wake(wait)
 			continue
 		}
-		cost := t.cost(now, g.zone)
+		cost := t.cost(now, g.domain)
 		conn := t.idle(now, c.req.idempotent)
 		if conn == nil {
 			if t.dialing == 0 && (now.Before(t.retry) || !t.mayDial(g.limit) && t.stalest() == nil) {
--- a/targets/entry.go
+++ b/targets/entry.go
@@ -13,7 +13,7 @@
 	born     int64
 	service  string
 	address  string
-	zone     string
+	domain   string
 	region   string
 	version  string
 	slots    int
@@ -39,8 +39,8 @@
 // Address returns where the target accepts connections.
 func (e Entry) Address() string { return e.address }
 
-// Zone returns the failure domain of the target.
-func (e Entry) Zone() string { return e.zone }
+// Domain returns the failure domain of the target.
+func (e Entry) Domain() string { return e.domain }
 
 // Region returns the region of the failure domain.
 func (e Entry) Region() string { return e.region }
@@ -64,13 +64,13 @@
 // EntryOption sets one property of an Entry.
 type EntryOption func(*Entry)
 
-// Born sets the start of the target in Unix milliseconds. A target that starts
+// StartedAt sets the start of the target in Unix milliseconds. A target that starts
 // again under the same identity differs in it.
-func Born(ms int64) EntryOption { return func(e *Entry) { e.born = ms } }
+func StartedAt(ms int64) EntryOption { return func(e *Entry) { e.born = ms } }
 
-// Zone sets the failure domain and its region.
-func Zone(zone, region string) EntryOption {
-	return func(e *Entry) { e.zone, e.region = zone, region }
+// Domain sets the failure domain and its region.
+func Domain(domain, region string) EntryOption {
+	return func(e *Entry) { e.domain, e.region = domain, region }
 }
 
 // Version sets the version of the target's software.
--- a/targets/group.go
+++ b/targets/group.go
@@ -42,7 +42,7 @@
 	protocol Protocol
 	clock    clock.Clock
 	dial     func(ctx context.Context, address string) (net.Conn, error)
-	zone     string
+	domain   string
 	onCrash  func(fingerprint uint64)
 	reports  *Reports
 	log      zerolog.Logger
--- a/targets/group_test.go
+++ b/targets/group_test.go
@@ -24,7 +24,7 @@
 
 func newWorld(count int, b shards.Behaviour, opts ...targets.EntryOption) *world {
 	w := &world{emulator: shards.New(1), pace: targets.NewPace(100 * time.Millisecond)}
-	w.group = targets.NewGroup("s", platform.TargetProtocol(), targets.Dial(w.emulator.Dial), targets.Near("a"))
+	w.group = targets.NewGroup("s", platform.TargetProtocol(), targets.Dial(w.emulator.Dial), targets.PreferDomain("a"))
 	w.size(0)
 	for range count {
 		w.add(b, opts...)
@@ -41,7 +41,7 @@
 func (w *world) add(b shards.Behaviour, opts ...targets.EntryOption) {
 	t := w.emulator.Add(fmt.Sprintf("t%d", len(w.targets)), b)
 	w.targets = append(w.targets, t)
-	opts = append([]targets.EntryOption{targets.Zone("a", "r"), targets.Slots(2)}, opts...)
+	opts = append([]targets.EntryOption{targets.Domain("a", "r"), targets.Slots(2)}, opts...)
 	w.entries = append(w.entries, targets.NewEntry(t.ID(), "s", t.Address(), opts...))
 }
 
@@ -185,7 +185,7 @@
 		for i := range 20 {
 			w.send(fmt.Sprintf("q%d", i), true)
 		}
-		w.targets[0].Become(sound(shards.Slow(20)))
+		w.targets[0].SetBehaviour(sound(shards.Slow(20)))
 		for i := range 6 {
 			w.send(fmt.Sprintf("r%d", i), true)
 		}
@@ -236,7 +236,7 @@
 		w := newWorld(0, sound())
 		defer w.close()
 		owner := w.emulator.Add("owner", sound())
-		w.group.Update([]targets.Entry{targets.NewEntry("gone", "s", owner.Address(), targets.Zone("a", "r"), targets.Slots(2))})
+		w.group.Update([]targets.Entry{targets.NewEntry("gone", "s", owner.Address(), targets.Domain("a", "r"), targets.Slots(2))})
 		time.Sleep(50 * time.Millisecond)
 		misdirected := 0
 		for i := range 100 {
@@ -251,7 +251,7 @@
 		if w.group.Reachable() {
 			t.Error("the group counts as reachable although its only target has left its address")
 		}
-		w.group.Update([]targets.Entry{targets.NewEntry("owner", "s", owner.Address(), targets.Zone("a", "r"), targets.Slots(2))})
+		w.group.Update([]targets.Entry{targets.NewEntry("owner", "s", owner.Address(), targets.Domain("a", "r"), targets.Slots(2))})
 		time.Sleep(50 * time.Millisecond)
 		if c := w.send("again", true); c == nil || c.Outcome() != targets.Answered {
 			t.Errorf("the owner's own entry is not used: %v", c)
--- a/targets/option.go
+++ b/targets/option.go
@@ -20,8 +20,8 @@
 	return func(g *Group) { g.dial = f }
 }
 
-// Near names the failure domain of this daemon, whose targets are preferred.
-func Near(zone string) Option { return func(g *Group) { g.zone = zone } }
+// PreferDomain names the failure domain of this daemon, whose targets are preferred.
+func PreferDomain(domain string) Option { return func(g *Group) { g.domain = domain } }
 
 // OnCrash sets what is called with the fingerprint of each request that was
 // under way when a target crashed. It must not block.
--- a/targets/outlook.go
+++ b/targets/outlook.go
@@ -53,7 +53,7 @@
 		}
 		o.open = true
 		o.idle = o.idle || len(t.calls) == 0
-		least = min(least, t.expected(now, g.zone, len(g.waiting)))
+		least = min(least, t.expected(now, g.domain, len(g.waiting)))
 	}
 	o.soon = capacity >= float64(len(g.waiting)+1)
 	if o.open {
--- a/targets/reports.go
+++ b/targets/reports.go
@@ -95,9 +95,9 @@
 	return r.next - uint64(len(reports)), reports
 }
 
-// Hear takes in failures that another daemon saw, by the fingerprint of the
+// MergeReports takes in failures that another daemon saw, by the fingerprint of the
 // target.
-func (g *Group) Hear(reports map[uint64][]Report) {
+func (g *Group) MergeReports(reports map[uint64][]Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock.Now()
--- a/targets/reports_test.go
+++ b/targets/reports_test.go
@@ -27,7 +27,7 @@
 	for i := range r.groups {
 		r.reports[i] = targets.NewReports(clock.System{})
 		r.groups[i] = targets.NewGroup("s", platform.TargetProtocol(), targets.Dial(r.emulator.Dial),
-			targets.Near("a"), targets.ReportTo(r.reports[i]))
+			targets.PreferDomain("a"), targets.ReportTo(r.reports[i]))
 		r.groups[i].Resize(targets.NewSizing(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
 		r.groups[i].Update(r.entries)
 	}
@@ -51,7 +51,7 @@
 	for _, t := range reports {
 		byTarget[t.Target()] = append(byTarget[t.Target()], t)
 	}
-	r.groups[1].Hear(byTarget)
+	r.groups[1].MergeReports(byTarget)
 	return len(reports)
 }
 
@@ -77,7 +77,7 @@
 			t.Errorf("the second daemon sent %d of 12 requests to a target that was told to fail, want none", n)
 		}
 		time.Sleep(8 * time.Second)
-		r.targets[0].Become(sound())
+		r.targets[0].SetBehaviour(sound())
 		r.load(1, 30)
 		if n := len(r.targets[0].Runs()) - before; n < 5 {
 			t.Errorf("the target got %d of 30 requests after it had recovered, want 5 or more", n)
--- a/targets/target.go
+++ b/targets/target.go
@@ -102,7 +102,7 @@
 }
 
 // cost is the expected time until an answer, in usual latencies.
-func (t *Target) cost(now time.Time, zone string) float64 {
+func (t *Target) cost(now time.Time, domain string) float64 {
 	slowness, failures := t.decayed(now)
 	for _, c := range t.calls {
 		median := c.pace.Median()
@@ -112,7 +112,7 @@
 	}
 	load := 1 + float64(len(t.calls))/float64(t.entry.slots)
 	cost := slowness * load * (1 + failureCost*failures)
-	if t.entry.zone != zone {
+	if t.entry.domain != domain {
 		cost += farCost
 	}
 	return cost
@@ -120,8 +120,8 @@
 
 // expected returns the expected time until an answer to a further request, in
 // usual latencies, with so many requests waiting here for the group's targets.
-func (t *Target) expected(now time.Time, zone string, waiting int) float64 {
-	cost := t.cost(now, zone)
+func (t *Target) expected(now time.Time, domain string, waiting int) float64 {
+	cost := t.cost(now, domain)
 	if t.crowded(now) {
 		slowness, _ := t.decayed(now)
 		cost += slowness * float64(waiting+1)
