--- a/cell/adopt.go
+++ b/cell/adopt.go
@@ -10,105 +10,110 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// pending is an epoch that waits for the catalogue that its homes are computed from.
-type pending struct {
-	m     *membership
-	since time.Duration
+// pendingMembership is a received epoch that is not adopted yet, because the
+// catalogue from which its homes are computed is still missing.
+type pendingMembership struct {
+	membership *membership
+	since      time.Duration
 }
 
-// offerWireLocked takes a membership from a peer; nil is no offer.
-func (c *Cell) offerWireLocked(now time.Duration, w *peerpb.Membership) {
-	if w == nil || c.view.m != nil && w.Epoch <= c.view.m.epoch {
+// receiveMembershipLocked decodes a membership from a peer and tries to adopt it.
+// It ignores nil and any epoch that is not later than the current one.
+func (c *Cell) receiveMembershipLocked(now time.Duration, w *peerpb.Membership) {
+	if w == nil || c.view.membership != nil && w.Epoch <= c.view.membership.epoch {
 		return
 	}
 	m, err := membershipOf(w, c.cfg.cell)
 	if err != nil {
 		meter.Count("cell.refused.membership", 1)
-		log.Warn().Err(err).Msg("refused a membership from a peer")
+		log.Warn().Err(err).Msg("rejected a membership from a peer; the current one stays in force")
 		return
 	}
-	c.offerLocked(now, m)
+	c.tryAdoptLocked(now, m)
 }
 
-// offerLocked adopts m if it is newer and its homes can be computed. Otherwise
-// m waits, because homes computed from another catalogue could overlap.
-func (c *Cell) offerLocked(now time.Duration, m *membership) {
-	if m.contradicts(c.view.m) {
+// tryAdoptLocked adopts m if it is newer and its homes can be computed. A newer m
+// whose catalogue is missing becomes pending, because homes computed from
+// different catalogues could overlap.
+func (c *Cell) tryAdoptLocked(now time.Duration, m *membership) {
+	if m.cannotFollow(c.view.membership) {
 		meter.Count("cell.refused.membership", 1)
-		log.Warn().Uint64("epoch", m.epoch).Uint64("term", m.term).Msg("refused a membership that cannot follow")
+		log.Warn().Uint64("epoch", m.epoch).Uint64("term", m.term).Msg("rejected a membership with an earlier term or too large a step; the current one stays in force")
 		return
 	}
-	if !m.newer(c.view.m) {
+	if !m.isNewerThan(c.view.membership) {
 		return
 	}
-	if m.digest == 0 || c.config.find(m.digest) != nil || c.view.table == nil {
+	if m.digest == 0 || c.configuration.findInputs(m.digest) != nil || c.view.table == nil {
 		c.adoptLocked(now, m)
 		return
 	}
-	if c.pending.m == nil {
+	if c.pending.membership == nil {
 		c.pending.since = now
 	}
-	if m.newer(c.pending.m) {
-		c.pending.m = m
-		c.pullLocked(m.keeper.PeerAddress(), m.generation)
+	if m.isNewerThan(c.pending.membership) {
+		c.pending.membership = m
+		c.pullConfigurationLocked(m.leader.PeerAddress(), m.generation)
 	}
 }
 
-// adoptPendingLocked adopts the waiting epoch when its catalogue has arrived. When
-// that takes too long it is adopted without homes, so that others can settle it.
+// adoptPendingLocked adopts the pending epoch once its catalogue has arrived. After
+// inputsTimeout it adopts the epoch without homes, so that the cell can settle it.
 func (c *Cell) adoptPendingLocked(now time.Duration) {
-	m := c.pending.m
+	m := c.pending.membership
 	switch {
 	case m == nil:
-	case !m.newer(c.view.m):
-		c.pending.m = nil
-	case c.config.find(m.digest) != nil || now-c.pending.since >= inputsWait:
+	case !m.isNewerThan(c.view.membership):
+		c.pending.membership = nil
+	case c.configuration.findInputs(m.digest) != nil || now-c.pending.since >= inputsTimeout:
 		c.adoptLocked(now, m)
 	}
 }
 
 func (c *Cell) adoptLocked(now time.Duration, m *membership) {
-	old := c.view.m
+	old := c.view.membership
 	if old != nil {
 		invariant.Check("cell.epoch", m.epoch > old.epoch && m.term >= old.term,
 			"term %d epoch %d after term %d epoch %d", m.term, m.epoch, old.term, old.epoch)
 	}
 	self := c.self.Name()
-	before := c.view.owned(self)
+	before := c.view.ownedGroups(self)
 	kept := c.view.fullGroups(now, self)
-	if now >= c.view.live() {
-		c.view.stamp++
+	if now >= c.view.leaseEnd() {
+		c.view.shareVersion++
 	}
-	c.pending.m = nil
-	c.view.m, c.view.settled, c.view.recorded = m, false, false
-	c.view.kept, c.view.granted = kept, make(map[string]bool)
-	c.release.plan(now, old, m, c.view.table)
+	c.pending.membership = nil
+	c.view.membership, c.view.settled, c.view.settledStored = m, false, false
+	c.view.fullBefore, c.view.confirmed = kept, make(map[string]bool)
+	c.handoff.planRequests(now, old, m, c.view.table)
 	c.view.table = nil
-	c.fillTableLocked()
+	c.computeTableLocked()
 	if _, ok := m.member(c.self.Incarnation()); !ok {
-		c.view.lease, c.view.still, c.view.minor, c.view.kept = 0, 0, 0, nil
-		c.view.stamp++
+		c.view.grantedLease, c.view.majorityLease, c.view.actingLease, c.view.fullBefore = 0, 0, 0, nil
+		c.view.shareVersion++
 	}
-	c.stopLocked(missing(before, c.view.owned(self)))
+	c.stopHomesLocked(groupsWithout(before, c.view.ownedGroups(self)))
 	c.changed = true
 	meter.Gauge("cell.epoch", int64(m.epoch))
-	log.Info().Uint64("term", m.term).Uint64("epoch", m.epoch).Str("keeper", m.keeper.Name()).
+	log.Info().Uint64("term", m.term).Uint64("epoch", m.epoch).Str("keeper", m.leader.Name()).
 		Int("members", len(m.members)).Msg("adopted a membership")
 }
 
-// fillTableLocked computes the homes of the epoch once its catalogue is known.
-func (c *Cell) fillTableLocked() {
-	if c.view.m == nil || c.view.table != nil {
+// computeTableLocked computes the homes of the current epoch if its catalogue is
+// known and the homes are not computed yet.
+func (c *Cell) computeTableLocked() {
+	if c.view.membership == nil || c.view.table != nil {
 		return
 	}
-	if in := c.config.find(c.view.m.digest); in != nil {
-		c.view.table = newTable(in, c.view.m.members)
+	if in := c.configuration.findInputs(c.view.membership.digest); in != nil {
+		c.view.table = newHomeTable(in, c.view.membership.members)
 		c.changed = true
 	}
 }
 
-// missing returns what before has and after lacks; both are sorted.
-func missing(before, after []string) []string {
+// groupsWithout returns the group IDs of before that are not in after. Both lists
+// are sorted.
+func groupsWithout(before, after []string) []string {
 	var out []string
 	for _, id := range before {
 		for len(after) > 0 && after[0] < id {
--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -18,7 +18,7 @@
 	"medlaryard.example/medlaryard/peer"
 )
 
-func benchMembers(n int) []Member {
+func testMembers(n int) []Member {
 	members := make([]Member, n)
 	for i := range members {
 		members[i] = NewMember(MemberSpec{
@@ -29,28 +29,28 @@
 	return members
 }
 
-// benchKeeper returns a keeper whose epoch is settled.
-func benchKeeper(members []Member) *Cell {
+// newTestLeader returns the Cell of members[0] as leader in a settled epoch.
+func newTestLeader(members []Member) *Cell {
 	clk := clocktest.New()
 	c := New(members[0], WithClock(clk), WithName("c"), withSpawn(func(func()) {}))
-	m := &membership{cell: "c", term: 1, epoch: 2, baseEpoch: 1, keeper: members[0], members: members, previous: members, base: members}
-	c.keeper = newKeeper(m, 1, clk.Boot(), clk.Boot())
-	c.keeper.settled, c.keeper.told = true, true
+	m := &membership{cell: "c", term: 1, epoch: 2, baseEpoch: 1, leader: members[0], members: members, previous: members, base: members}
+	c.leader = newLeaderState(m, 1, clk.Boot(), clk.Boot())
+	c.leader.settled, c.leader.settledStored = true, true
 	c.adoptLocked(clk.Boot(), m)
 	return c
 }
 
-// BenchmarkHeartbeat is the keeper's work for one heartbeat of one member. The
-// metric wire-B is what one heartbeat and its reply take on a connection, HTTP
-// included; epoch-B is the message that carries a new membership.
+// BenchmarkHeartbeat measures the leader's work for one heartbeat of one member. The
+// metric wire-B is the size of a heartbeat and its reply on a connection, including
+// HTTP; epoch-B is the size of a membership message.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			members := benchMembers(n)
-			c := benchKeeper(members)
-			sender := benchKeeper(members)
+			members := testMembers(n)
+			c := newTestLeader(members)
+			sender := newTestLeader(members)
 			sender.self = members[1]
-			in := sender.beatRequestLocked(time.Hour)
+			in := sender.heartbeatRequestLocked(time.Hour)
 			b.ReportAllocs()
 			for b.Loop() {
 				if r, _ := c.HandleHeartbeat(context.Background(), in); !r.Accepted {
@@ -61,17 +61,17 @@
 				_, err := p.Heartbeat(context.Background(), address, in)
 				return err
 			})), "wire-B")
-			b.ReportMetric(float64(proto.Size(c.keeper.cur.wire())), "epoch-B")
+			b.ReportMetric(float64(proto.Size(c.leader.current.wire())), "epoch-B")
 		})
 	}
 }
 
-// BenchmarkSync is the work for one question of another member in a standstill,
-// when each member asks all others once a second.
+// BenchmarkSync measures the work for one Sync call from another member in a
+// standstill, when each member calls all others once a second.
 func BenchmarkSync(b *testing.B) {
 	for _, n := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			c := benchKeeper(benchMembers(n))
+			c := newTestLeader(testMembers(n))
 			in := c.syncRequestLocked()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -87,6 +87,7 @@
 	}
 }
 
+// countingListener accepts connections that add the bytes they carry to n.
 type countingListener struct {
 	net.Listener
 	n *atomic.Int64
@@ -113,7 +114,8 @@
 	return c.Conn.Write(p)
 }
 
-// wireBytes returns the bytes of one call on a connection that exists, HTTP included.
+// wireBytes returns the average size of a call and its reply, including HTTP, over 100
+// calls of one client.
 func wireBytes(b *testing.B, h peer.Handlers, call func(p *peer.Client, address string) error) int64 {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +136,7 @@
 	return n.Load() / calls
 }
 
-// benchText is a catalogue of shards with two searchers each.
+// benchText returns a catalogue of shards with two searchers each.
 func benchText(shards int) []byte {
 	var w strings.Builder
 	w.WriteString("owner: o\nclass: interactive\nlimits: {rate: 1000, concurrency: 100}\ndomains:\n")
@@ -161,25 +163,25 @@
 	return e
 }
 
-// BenchmarkTable is the computation of all homes after a new epoch.
+// BenchmarkTable measures the computation of all homes after a new epoch.
 func BenchmarkTable(b *testing.B) {
 	for _, s := range []struct{ members, groups int }{{7, 100}, {7, 400}, {15, 400}, {30, 1600}} {
 		b.Run(fmt.Sprintf("members=%d/groups=%d", s.members, s.groups), func(b *testing.B) {
 			e := benchEstate(b, s.groups, 1)
-			in, members := newInputs(e, allGroups(e)), benchMembers(s.members)
+			in, members := newInputs(e, allGroups(e)), testMembers(s.members)
 			b.ReportAllocs()
 			for b.Loop() {
-				newTable(in, members)
+				newHomeTable(in, members)
 			}
 		})
 	}
 }
 
-// BenchmarkInstall is a new configuration from its stored form to its use.
+// BenchmarkInstall measures putting a new configuration in force, including parsing.
 func BenchmarkInstall(b *testing.B) {
 	for _, groups := range []int{50, 200, 800, 3200} {
 		b.Run(fmt.Sprintf("groups=%d", groups), func(b *testing.B) {
-			c := New(benchMembers(1)[0], WithClock(clocktest.New()), WithParse(func(name, text string, generation uint64) (catalogue.Estate, error) {
+			c := New(testMembers(1)[0], WithClock(clocktest.New()), WithParse(func(name, text string, generation uint64) (catalogue.Estate, error) {
 				return evaluate.Text(name, []byte(text), generation)
 			}))
 			d := Document{Token: "t", Text: string(benchText(groups))}
@@ -196,15 +198,15 @@
 	}
 }
 
-// BenchmarkObject is the encoding of the cell object, which each renewal writes.
+// BenchmarkObject measures the encoding of the cell object, which each renewal writes.
 func BenchmarkObject(b *testing.B) {
 	for _, n := range []int{8, 16, 32, 64} {
 		b.Run(fmt.Sprintf("members=%d", n), func(b *testing.B) {
-			c := benchKeeper(benchMembers(n))
+			c := newTestLeader(testMembers(n))
 			var value []byte
 			b.ReportAllocs()
 			for b.Loop() {
-				value, _ = newObject(c.keeper.cur).encode()
+				value, _ = newObject(c.leader.current).encode()
 			}
 			b.ReportMetric(float64(len(value)), "object-B")
 		})
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -11,48 +11,48 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// Cell is this daemon's part in its cell. All state is guarded by mu. Calls to
-// the store and to peers run as tasks without mu; each applies its result
-// under mu, so a call that never returns blocks nothing else.
+// Cell is this daemon's membership in its cell. mu guards all state. Calls to the
+// store and to peers run in tasks that hold mu only to apply their results, so a
+// call that never returns blocks nothing else.
 type Cell struct {
-	cfg       config
-	self      Member
-	ctx       context.Context
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	mu        sync.Mutex
-	closed    bool
-	changed   bool     // Listeners must be called.
-	queued    []func() // Tasks to start at the end of the critical section.
-	listeners []func()
-	applies   bool   // The daemon calls ConfirmShares.
-	applied   uint64 // Key of the shares that the homes have.
-	noted     uint64 // Key at the last tick.
-	reads     uint64 // Calls of ShareKey.
-	closing   map[string]*closing
-	leaving   bool
-	view      view
-	pending   pending
-	beat      beat
-	keeper    *keeper // Nil unless this daemon writes the cell object.
-	candidate candidate
-	poll      poll
-	config    configuration
-	watch     watch
-	release   release
-	contact   contact
-}
-
-// New returns a Cell that does nothing until Run.
+	cfg            config
+	self           Member
+	ctx            context.Context
+	cancel         context.CancelFunc
+	tasks          sync.WaitGroup
+	mu             sync.Mutex
+	closed         bool
+	changed        bool     // unlock must call the listeners.
+	queuedTasks    []func() // Tasks that unlock starts.
+	listeners      []func()
+	confirmsShares bool   // The daemon has called ConfirmShares.
+	appliedKey     uint64 // Last key passed to ConfirmShares.
+	lastTickKey    uint64 // Share key at the last tick.
+	shareReads     uint64 // Number of calls of ShareKey.
+	closingHomes   map[string]*closingHome
+	leaving        bool
+	view           view
+	pending        pendingMembership
+	heartbeat      heartbeat
+	leader         *leaderState // Nil unless this daemon is the leader.
+	election       election
+	poll           poll
+	configuration  configuration
+	watch          watch
+	handoff        handoff
+	contact        contact
+}
+
+// New returns a Cell that starts its periodic work in Run.
 func New(self Member, opts ...Option) *Cell {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Cell{cfg: newConfig(opts), self: self.withLeaving(false), ctx: ctx, cancel: cancel}
-	c.release.estimates = make(map[string]*peerpb.ReleasedGroup)
-	c.closing = make(map[string]*closing)
+	c.handoff.estimates = make(map[string]*peerpb.ReleasedGroup)
+	c.closingHomes = make(map[string]*closingHome)
 	return c
 }
 
-// Run takes part in the cell until ctx or the Cell ends.
+// Run takes part in the cell until ctx is done or the Cell is closed.
 func (c *Cell) Run(ctx context.Context) {
 	for ctx.Err() == nil && c.ctx.Err() == nil {
 		c.tick()
@@ -75,7 +75,7 @@
 func (c *Cell) Estate() (catalogue.Estate, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.config.estate, c.config.doc.Generation > 0
+	return c.configuration.estate, c.configuration.doc.Generation > 0
 }
 
 // OnChange registers f, which is called after each change of configuration,
@@ -91,102 +91,105 @@
 func (c *Cell) Members() []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.view.m == nil {
+	if c.view.membership == nil {
 		return nil
 	}
-	return c.view.m.members
+	return c.view.membership.members
 }
 
-// PreferenceList returns the members to ask for g, the home first. The result is shared
-// and must not be changed.
+// PreferenceList returns the members to ask for g, the home first. It is empty
+// before the homes of the epoch are computed. The result is shared and must not be
+// changed.
 func (c *Cell) PreferenceList(g catalogue.Group) []Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.orderLocked(g)
+	return c.preferenceListLocked(g)
 }
 
-// Share returns the terms on which this daemon may send to g now.
+// Share returns the share of g's budgets that this daemon may use now.
 func (c *Cell) Share(g catalogue.Group) lease.Share {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.applies && c.closing[g.ID()] != nil {
+	if c.confirmsShares && c.closingHomes[g.ID()] != nil {
 		return lease.None
 	}
-	return c.view.share(now, c.self.Name(), g.ID(), c.orderLocked(g))
+	return c.view.share(now, c.self.Name(), g.ID(), c.preferenceListLocked(g))
 }
 
-// LeaseEnd returns the reading of clock.Clock.Boot at which the shares that were
-// applied last end; a home checks it before each send. It is in the past while
-// newer and smaller shares are not applied.
+// LeaseEnd returns the reading of clock.Clock.Boot at which the shares that the
+// homes applied last expire. A home checks it before each send. LeaseEnd returns 0
+// while the homes have not applied the shares in force.
 func (c *Cell) LeaseEnd() time.Duration {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.applies && c.applied != c.view.key(now) {
+	if c.confirmsShares && c.appliedKey != c.view.shareKey(now) {
 		return 0
 	}
-	return c.view.end(now)
+	return c.view.sharesEnd(now)
 }
 
-// ShareKey identifies the shares in force. Read it before Share, and pass it to
-// ConfirmShares once the homes have these shares.
+// ShareKey returns a key that identifies the shares in force. Call it before Share,
+// and pass the key to ConfirmShares once the homes have applied these shares.
 func (c *Cell) ShareKey() uint64 {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reads++
-	return c.view.key(now)
+	c.shareReads++
+	return c.view.shareKey(now)
 }
 
-// ConfirmShares reports that the homes have the shares that were read after the last
-// ShareKey, which returned key. A daemon that wakes from a pause must not use the shares it had
-// before with the lease that it gets now. Without any call, LeaseEnd does not
-// wait for one.
+// ConfirmShares records that the homes have applied the shares that were read after
+// the last call of ShareKey, which returned key. The confirmation keeps a daemon
+// that wakes from a pause from using its old shares under a new lease. If
+// ConfirmShares is never called, LeaseEnd does not depend on it.
 func (c *Cell) ConfirmShares(key uint64) {
 	c.mu.Lock()
 	defer c.unlock()
-	c.applies, c.applied = true, key
-	c.appliedLocked()
+	c.confirmsShares, c.appliedKey = true, key
+	c.pruneClosingLocked()
 }
 
-func (c *Cell) orderLocked(g catalogue.Group) []Member {
+func (c *Cell) preferenceListLocked(g catalogue.Group) []Member {
 	if c.view.table == nil {
 		return nil
 	}
-	return c.view.table.order(g)
+	return c.view.table.preferenceList(g)
 }
 
-// tick starts whatever is due.
+// tick runs the periodic work that is due.
 func (c *Cell) tick() {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	c.adoptPendingLocked(now)
-	c.keepLocked(now)
-	c.beatLocked(now)
+	c.leadLocked(now)
+	c.sendHeartbeatLocked(now)
 	c.electLocked(now)
 	c.pollLocked(now)
-	c.configLocked(now)
-	c.askReleaseLocked(now)
-	if key := c.view.key(now); key != c.noted {
-		c.noted, c.changed = key, true
+	c.watchConfigurationLocked(now)
+	c.requestReleasesLocked(now)
+	if key := c.view.shareKey(now); key != c.lastTickKey {
+		c.lastTickKey, c.changed = key, true
 	}
 	c.unlock()
 }
 
-// later queues a task for the end of the critical section.
-func (c *Cell) later(f func()) {
+// queueTask queues f, which unlock starts at the end of the critical section. It
+// drops f once the Cell is closed.
+func (c *Cell) queueTask(f func()) {
 	if c.closed {
 		return
 	}
 	c.tasks.Add(1)
-	c.queued = append(c.queued, f)
+	c.queuedTasks = append(c.queuedTasks, f)
 }
 
-// unlock ends a critical section: it starts queued tasks and calls listeners.
+// unlock releases mu, starts the queued tasks and, after a change, calls the
+// listeners.
 func (c *Cell) unlock() {
-	queued, changed, listeners := c.queued, c.changed, c.listeners
-	c.queued, c.changed = nil, false
+	queued, changed, listeners := c.queuedTasks, c.changed, c.listeners
+	c.queuedTasks, c.changed = nil, false
 	c.mu.Unlock()
 	for _, f := range queued {
 		c.cfg.spawn(func() {
@@ -201,7 +204,7 @@
 	}
 }
 
-// within returns a context that ends after d or with the Cell.
-func (c *Cell) within(d time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout returns a context that ends after d or when the Cell is closed.
+func (c *Cell) withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
 	return clock.WithDeadline(c.ctx, c.cfg.clk, c.cfg.clk.Boot()+d)
 }
--- a/cell/configuration.go
+++ b/cell/configuration.go
@@ -14,26 +14,28 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// configuration is the catalogue in force and what is known of newer ones.
+// configuration holds the catalogue in force and the state of newer generations.
 type configuration struct {
-	doc     Document
-	estate  catalogue.Estate
-	since   time.Time
-	inputs  []*inputs // Of this catalogue and of the one before.
-	highest uint64    // Highest generation seen anywhere.
-	refused string    // Why the last refused one was refused.
-	pulling bool
-	bad     uint64        // Generation of the last refused one.
-	retry   time.Duration // When bad may be pulled from a peer again.
+	doc               Document
+	estate            catalogue.Estate
+	inForceSince      time.Time
+	inputs            []*inputs // Of the catalogue in force and of the previous one, newest first.
+	highestGeneration uint64    // Highest generation seen anywhere.
+	refusalReason     string    // Error of the last rejected configuration; empty after an installation.
+	pulling           bool
+	refusedGeneration uint64        // Generation of the last rejected configuration.
+	retryAt           time.Duration // When refusedGeneration may be pulled from a peer again.
 }
 
-func (x *configuration) asked(generation uint64) {
-	if generation-min(generation, x.highest) <= maxStep || x.highest == 0 {
-		x.highest = max(x.highest, generation)
+// observeGeneration records the highest generation seen. It ignores a generation
+// that is more than maxStep ahead of it.
+func (x *configuration) observeGeneration(generation uint64) {
+	if generation-min(generation, x.highestGeneration) <= maxStep || x.highestGeneration == 0 {
+		x.highestGeneration = max(x.highestGeneration, generation)
 	}
 }
 
-// digest identifies the inputs in force; 0 without a configuration.
+// digest returns the digest of the inputs in force; 0 without a configuration.
 func (x *configuration) digest() uint64 {
 	if len(x.inputs) == 0 {
 		return 0
@@ -41,7 +43,8 @@
 	return x.inputs[0].digest
 }
 
-func (x *configuration) find(digest uint64) *inputs {
+// findInputs returns the known inputs with that digest, or nil.
+func (x *configuration) findInputs(digest uint64) *inputs {
 	for _, in := range x.inputs {
 		if in.digest == digest {
 			return in
@@ -50,33 +53,34 @@
 	return nil
 }
 
-// install puts a newer configuration in force and forwards it along the tree of
-// origin. An invalid one is refused and the last good one stays.
+// install puts a newer configuration in force and forwards it along the tree whose
+// root is origin. It rejects an invalid configuration; the current one stays in
+// force.
 func (c *Cell) install(d Document, origin string) {
 	c.mu.Lock()
-	c.config.asked(d.Generation)
-	err := c.config.wants(d)
+	c.configuration.observeGeneration(d.Generation)
+	err := c.configuration.checkConflict(d)
 	c.unlock()
 	if err != nil || d.Generation <= c.Generation() {
-		c.refuse(err, d.Generation)
+		c.refuseConfiguration(err, d.Generation)
 		return
 	}
 	estate, err := c.cfg.parse(CatalogueKey, d.Text, d.Generation)
 	if err != nil {
-		c.refuse(err, d.Generation)
+		c.refuseConfiguration(err, d.Generation)
 		return
 	}
-	in := newInputs(estate, c.cfg.groups(estate))
+	in := newInputs(estate, c.cfg.selectGroups(estate))
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.unlock()
-	x := &c.config
+	x := &c.configuration
 	if d.Generation <= x.doc.Generation {
 		return
 	}
 	invariant.Check("cell.generation", d.Generation > x.doc.Generation && estate.Generation() == d.Generation,
 		"generation %d, estate %d after %d", d.Generation, estate.Generation(), x.doc.Generation)
-	x.doc, x.estate, x.since, x.refused = d, estate, c.cfg.clk.Now(), ""
+	x.doc, x.estate, x.inForceSince, x.refusalReason = d, estate, c.cfg.clk.Now(), ""
 	if len(x.inputs) == 0 || x.inputs[0].digest != in.digest {
 		x.inputs = append([]*inputs{in}, x.inputs[:min(1, len(x.inputs))]...)
 	}
@@ -84,61 +88,63 @@
 	meter.Count("cell.configuration.installed", 1)
 	meter.Gauge("cell.generation", int64(d.Generation))
 	log.Info().Uint64("generation", d.Generation).Str("author", d.Author).Msg("configuration in force")
-	c.fillTableLocked()
+	c.computeTableLocked()
 	c.adoptPendingLocked(now)
 	c.forwardLocked(origin)
 }
 
-// Generation is that of the configuration in force; 0 before the first one.
+// Generation returns the generation of the configuration in force; 0 before the
+// first one.
 func (c *Cell) Generation() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.config.doc.Generation
+	return c.configuration.doc.Generation
 }
 
-// refuse records why a configuration of that generation is not put in force.
-func (c *Cell) refuse(err error, generation uint64) {
+// refuseConfiguration records and logs why a configuration is not put in force. A
+// nil err records nothing.
+func (c *Cell) refuseConfiguration(err error, generation uint64) {
 	if err == nil {
 		return
 	}
 	meter.Count("cell.refused.configuration", 1)
-	log.Warn().Err(err).Msg("refused a configuration")
+	log.Warn().Err(err).Msg("rejected a configuration; the current one stays in force")
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
-	c.config.refused, c.config.bad, c.config.retry = err.Error(), generation, now+badRetry
+	c.configuration.refusalReason, c.configuration.refusedGeneration, c.configuration.retryAt = err.Error(), generation, now+refusedRetry
 	c.unlock()
 }
 
 // forwardLocked pushes the configuration to this daemon's children in the tree
-// whose root is origin; an empty origin forwards nothing. Daemons that the tree
-// misses learn the generation from heartbeats.
+// whose root is origin; an empty origin forwards nothing. Daemons that the push
+// does not reach pull the configuration after a heartbeat with a newer generation.
 func (c *Cell) forwardLocked(origin string) {
-	if origin == "" || c.view.m == nil {
+	if origin == "" || c.view.membership == nil {
 		return
 	}
-	order := pushOrder(c.view.m.members, origin, c.config.doc.Generation)
+	order := pushOrder(c.view.membership.members, origin, c.configuration.doc.Generation)
 	i := rankOf(order, c.self.Name())
 	if i < 0 {
 		return
 	}
 	for n := i*pushDegree + 1; n <= i*pushDegree+pushDegree && n < len(order); n++ {
 		in := c.syncRequestLocked()
-		in.Catalogue, in.Origin = c.config.doc.wire(), origin
+		in.Catalogue, in.Origin = c.configuration.doc.wire(), origin
 		address := order[n].PeerAddress()
-		c.later(func() { c.push(address, in) })
+		c.queueTask(func() { c.push(address, in) })
 	}
 }
 
-// push sends a configuration and once more after a failure.
+// push sends a configuration to a peer and retries once after a failure.
 func (c *Cell) push(address string, in *peerpb.SyncRequest) {
 	meter.Count("cell.push", 1)
-	if c.sync(address, in) == nil {
-		c.sync(address, in)
+	if c.callSync(address, in) == nil {
+		c.callSync(address, in)
 	}
 }
 
-// pushOrder lists the members as a tree in breadth-first order. The tree differs
-// with each generation, so that the load of forwarding moves around.
+// pushOrder lists the members as a tree in breadth-first order. The tree depends on
+// the generation, which spreads the forwarding load over the members.
 func pushOrder(members []Member, origin string, generation uint64) []Member {
 	key := strconv.FormatUint(generation, 10)
 	order := slices.Clone(members)
--- a/cell/contact.go
+++ b/cell/contact.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// contact records when others were last heard, as readings of clock.Clock.Boot.
+// contact records the last contact with peers and with the store. Times are readings
+// of clock.Clock.Boot.
 type contact struct {
-	peer    time.Duration
-	store   time.Duration // Last successful store call.
-	storeOK bool          // The last store call succeeded.
+	lastPeer  time.Duration // Last message from a peer.
+	lastStore time.Duration // Last successful store call.
+	storeOK   bool          // The last store call succeeded.
 }
 
-// stored records the result of a store call.
-func (c *Cell) stored(now time.Duration, ok bool) {
+// recordStoreContact records the result of a store call.
+func (c *Cell) recordStoreContact(now time.Duration, ok bool) {
 	c.contact.storeOK = ok
 	if ok {
-		c.contact.store = now
+		c.contact.lastStore = now
 	}
 }
 
-// seesStore reports whether this daemon knows that the store answers.
+// seesStore reports whether the last store call succeeded and is recent.
 func (x *contact) seesStore(now time.Duration) bool {
-	return x.storeOK && now-x.store < seenTime
+	return x.storeOK && now-x.lastStore < storeContactTimeout
 }
 
-// isolated reports whether neither the store nor any peer answers.
+// isolated reports whether the store is unreachable and no peer has been in contact
+// for isolationTimeout.
 func (x *contact) isolated(now time.Duration) bool {
-	return !x.storeOK && now-x.peer > contactTime
+	return !x.storeOK && now-x.lastPeer > isolationTimeout
 }
--- a/cell/doc.go
+++ b/cell/doc.go
@@ -1,28 +1,30 @@
-// Package cell agrees with the other daemons of the cell on who is a member and
-// which daemon is home of each replica group, and spreads the configuration.
+// Package cell maintains the membership of a cell of daemons, assigns each replica
+// group a home among them, and distributes the configuration to them.
 //
-// All agreement goes through one object in the platform's store, written by the
-// keeper with conditional updates. Each write of new members is an epoch. The
-// rules that keep homes apart are:
+// The daemons coordinate through one object in the platform's store, which the
+// elected leader writes with conditional updates. Each write that changes the
+// membership starts a new epoch. These rules prevent two daemons from using the full
+// share of one group at the same time:
 //
-//   - The keeper grants a member lease of 3 s from the time the heartbeat was
-//     sent, only to members that are at its epoch and only while its own lease
-//     in the store holds.
-//   - All members compute homes from the same inputs: an epoch carries the
-//     digest of what the catalogue contributes, and a member whose catalogue
-//     differs stays at the epoch before until the catalogue has arrived.
-//   - A home that is new with an epoch has the reserved share until the epoch is
-//     settled: each holder of an earlier epoch has acknowledged that its homes
-//     stopped, or its lease has lapsed and it cannot hold one from a majority.
-//     A confirmed release by the only earlier home settles single groups.
-//   - Without a keeper, a majority of the members that knows no later epoch
-//     extends leases. A later epoch is settled only after a majority of its base,
-//     the members of the last settled epoch, has acknowledged it. The two
-//     majorities share a daemon, which no longer extends the lease.
-//   - A keeper that hears only a minority lets a member that reaches a majority
-//     take over, and settles nothing meanwhile.
+//   - The leader grants a member a lease of 3 s from the time the heartbeat was sent.
+//     It grants leases only to members that are at its epoch and only while its own
+//     lease in the store is valid.
+//   - All members compute homes from the same inputs. An epoch carries the digest of
+//     the part of the catalogue that affects homes. A member whose catalogue differs
+//     stays at the previous epoch until the catalogue has arrived.
+//   - A home that is new in an epoch has the reserved share until the epoch is
+//     settled. An epoch is settled once each possible home of an earlier epoch has
+//     acknowledged that its homes stopped, or its lease has expired and it cannot
+//     have a lease from a majority. A release that the only earlier home confirms
+//     settles single groups.
+//   - Without a leader, a majority of the members that knows no later epoch extends
+//     leases. A later epoch settles only after a majority of its base, the members of
+//     the last settled epoch, has acknowledged it. The two majorities share a daemon,
+//     which no longer extends the lease.
+//   - A leader that gets heartbeats only from a minority lets a member that reaches a
+//     majority take over, and settles nothing in the meantime.
 //
-// TestRandomRun checks these rules with all kinds of faults at once. More seeds:
+// TestRandomRun checks these rules under combined faults. To run more seeds:
 //
 //	MEDLARYARD_SEEDS=1000 go test -run TestRandomRun ./cell
 //	MEDLARYARD_SEED=1047 go test -run TestRandomRun ./cell
--- a/cell/document.go
+++ b/cell/document.go
@@ -12,9 +12,9 @@
 const CatalogueKey = publish.Key
 
 const (
-	// maxObject is the store's limit of a value in bytes.
+	// maxObject is the store's limit for a value, in bytes.
 	maxObject = 1 << 20
-	// maxName bounds names, tokens and addresses in bytes.
+	// maxName limits names, tokens and addresses, in bytes.
 	maxName = 256
 )
 
@@ -27,7 +27,7 @@
 	Time       time.Time // Wall time of the change, to the millisecond.
 }
 
-// DecodeDocument reads and checks the value of catalogue/current.
+// DecodeDocument decodes and validates the value of the store key catalogue/current.
 func DecodeDocument(value []byte) (Document, error) {
 	if len(value) > maxObject {
 		return Document{}, eris.Errorf("configuration has %d bytes, the limit is %d", len(value), maxObject)
@@ -42,7 +42,7 @@
 	return d, d.check()
 }
 
-// Encode returns the value of catalogue/current.
+// Encode validates d and returns the value of the store key catalogue/current.
 func (d Document) Encode() ([]byte, error) {
 	if err := d.check(); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	case d.Generation == 0:
 		return eris.New("configuration has no generation")
 	case d.Token == "" || len(d.Token) > maxName || len(d.Author) > maxName:
-		return eris.New("configuration has no token, or a token or author that is too long")
+		return eris.New("configuration token is missing or too long, or its author is too long")
 	case len(d.Text) > maxObject:
 		return eris.Errorf("configuration text has %d bytes, the limit is %d", len(d.Text), maxObject)
 	}
--- a/cell/document_test.go
+++ b/cell/document_test.go
@@ -7,9 +7,9 @@
 	"medlaryard.example/medlaryard/catalogue/publish"
 )
 
-// Guards against a second definition of the stored form: what operators apply
-// must arrive complete, also by way of a peer, and the reverse.
-func TestDocumentHasStoredForm(t *testing.T) {
+// Guards against a stored form that differs from that of package publish: all fields
+// must survive decoding, transfer to a peer and encoding.
+func TestDocumentStoredForm(t *testing.T) {
 	applied := time.Date(2026, 3, 1, 7, 30, 0, 250_000_000, time.UTC)
 	current := publish.NewCurrent(publish.CurrentSpec{
 		Generation: 3, Token: "token", Text: "text <&>", Author: "author", Applied: applied,
@@ -24,7 +24,7 @@
 		t.Fatalf("%+v, %v; want %+v", d, err, want)
 	}
 	if d, err = documentOf(d.wire()); err != nil || d != want {
-		t.Errorf("by way of a peer %+v, %v", d, err)
+		t.Errorf("after transfer to a peer %+v, %v", d, err)
 	}
 	if value, err = d.Encode(); err != nil {
 		t.Fatal(err)
--- a/cell/elect.go
+++ b/cell/elect.go
@@ -14,49 +14,49 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// candidate is the search for a keeper: a look at the cell object from time to
-// time while no keeper grants leases.
-type candidate struct {
-	next    time.Duration
-	running bool
-	looked  bool
-	version uint64        // Of the object at the last look.
-	since   time.Duration // When that version was first seen.
+// election is the state of the search for a leader: while no leader grants leases,
+// this daemon reads the cell object periodically and may take over.
+type election struct {
+	next         time.Duration
+	running      bool
+	observed     bool          // version and versionSince are set.
+	version      uint64        // Of the object at the last read.
+	versionSince time.Duration // When that version was first seen.
 }
 
 func (c *Cell) electLocked(now time.Duration) {
-	x := &c.candidate
-	if c.keeper != nil || c.leaving || x.running {
+	x := &c.election
+	if c.leader != nil || c.leaving || x.running {
 		return
 	}
-	if !c.beat.unheard(now) && !(c.beat.refused && c.rankLocked() == 0) {
-		x.looked = false
+	if !c.heartbeat.grantOverdue(now) && !(c.heartbeat.refusedByLeader && c.candidateRankLocked() == 0) {
+		x.observed = false
 		x.next = min(x.next, now)
 		return
 	}
 	if now < x.next {
 		return
 	}
-	rank := c.rankLocked()
+	rank := c.candidateRankLocked()
 	x.running = true
 	x.next = now + candidateInterval
-	if rank >= firstCandidates && c.view.m != nil {
-		x.next = now + othersInterval + time.Duration(rank)*rankDelay
+	if rank >= firstCandidates && c.view.membership != nil {
+		x.next = now + laterCandidateInterval + time.Duration(rank)*rankDelay
 	}
-	c.later(func() { c.look(rank) })
+	c.queueTask(func() { c.checkObject(rank) })
 }
 
-// rankLocked is the place of this daemon among the candidates for the next
-// term, of which those that did not reply lately do not count.
-func (c *Cell) rankLocked() int {
-	m := c.view.m
+// candidateRankLocked returns the rank of this daemon among the candidates for the
+// next term, from 0. Members that did not reply in the last round do not count.
+func (c *Cell) candidateRankLocked() int {
+	m := c.view.membership
 	if m == nil {
 		return 0
 	}
 	key := c.cfg.cell + "/" + strconv.FormatUint(m.term, 10)
 	var list []Member
 	for _, x := range m.members {
-		if !x.Leaving() && x.Incarnation() != m.keeper.Incarnation() && !c.poll.missed(x, c.self) {
+		if !x.Leaving() && x.Incarnation() != m.leader.Incarnation() && !c.poll.missedLastRound(x, c.self) {
 			list = append(list, x)
 		}
 	}
@@ -69,79 +69,82 @@
 	return len(list)
 }
 
-// look reads the cell object and takes over when its keeper has not renewed it
-// for longer than the keeper's lease.
-func (c *Cell) look(rank int) {
-	obj, err := c.get(c.key())
+// checkObject reads the cell object and takes over if its leader has not renewed it
+// for longer than the store lease.
+func (c *Cell) checkObject(rank int) {
+	obj, err := c.get(c.objectKey())
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.unlock()
-	x := &c.candidate
+	x := &c.election
 	x.running = false
-	if c.keeper != nil || err != nil && !errors.Is(err, store.ErrNotFound) {
+	if c.leader != nil || err != nil && !errors.Is(err, store.ErrNotFound) {
 		return
 	}
-	var o *object
+	var o *cellObject
 	var m *membership
 	version := store.Absent
 	if err == nil {
 		version = obj.Version()
 		o, m, err = decodeObject(obj.Value(), c.cfg.cell)
-		if err == nil && m.contradicts(c.view.m) {
-			err = eris.Errorf("term %d epoch %d cannot follow term %d epoch %d", m.term, m.epoch, c.view.m.term, c.view.m.epoch)
+		if err == nil && m.cannotFollow(c.view.membership) {
+			err = eris.Errorf("term %d epoch %d cannot follow term %d epoch %d", m.term, m.epoch, c.view.membership.term, c.view.membership.epoch)
 		}
 		if err != nil {
 			meter.Count("cell.refused.object", 1)
-			log.Warn().Err(err).Msg("refused the cell object")
+			log.Warn().Err(err).Msg("rejected the cell object; treating it as unreadable")
 			o, m = nil, nil
 		}
 	}
-	if !x.looked || version != x.version {
-		x.looked, x.version, x.since = true, version, now
+	if !x.observed || version != x.version {
+		x.observed, x.version, x.versionSince = true, version, now
 	}
 	if m != nil {
-		c.offerLocked(now, m)
+		c.tryAdoptLocked(now, m)
 	}
 	if c.leaving || !c.mayTakeOverLocked(now, rank, o, m, version) {
 		return
 	}
-	next := c.successorLocked(o, m)
+	next := c.successorMembershipLocked(o, m)
 	if next == nil {
 		return
 	}
 	x.running = true
 	yields := o != nil && o.Yields
-	c.later(func() { c.takeOver(next, version, yields) })
+	c.queueTask(func() { c.takeOver(next, version, yields) })
 }
 
-func (c *Cell) mayTakeOverLocked(now time.Duration, rank int, o *object, m *membership, version uint64) bool {
-	idle := now - c.candidate.since
-	if m != nil && !m.newer(c.view.m) && c.view.m != nil && m.epoch < c.view.m.epoch {
-		o, m = nil, nil // The object was set back; wait as for an unknown holder.
+// mayTakeOverLocked reports whether this daemon may write the first epoch of the next
+// term. o and m are nil if the object is missing or unreadable. The required wait
+// grows with rank.
+func (c *Cell) mayTakeOverLocked(now time.Duration, rank int, o *cellObject, m *membership, version uint64) bool {
+	idle := now - c.election.versionSince
+	if m != nil && !m.isNewerThan(c.view.membership) && c.view.membership != nil && m.epoch < c.view.membership.epoch {
+		o, m = nil, nil // The object was reset to an earlier epoch; wait as for an unknown leader.
 	}
 	switch {
-	case m == nil && version == store.Absent && c.view.m == nil:
+	case m == nil && version == store.Absent && c.view.membership == nil:
 		return true
-	case m != nil && m.keeper.Incarnation() == c.self.Incarnation():
+	case m != nil && m.leader.Incarnation() == c.self.Incarnation():
 		return true
-	case m != nil && o.Yields && c.poll.reaches(now, m):
+	case m != nil && o.Yields && c.poll.reachesMajority(now, m):
 		return idle >= time.Duration(rank)*rankDelay
 	case m != nil && o.Released:
 		return idle >= time.Duration(rank)*rankDelay
 	default:
-		return idle >= storeLease+margin+time.Duration(rank)*rankDelay
+		return idle >= storeLeaseDuration+clockMargin+time.Duration(rank)*rankDelay
 	}
 }
 
-// successorLocked returns the first epoch of the next term. Whether the last
-// epoch was settled is known only from the object.
-func (c *Cell) successorLocked(o *object, m *membership) *membership {
-	v := c.view.m
+// successorMembershipLocked returns the first epoch of the next term, or nil if there
+// can be none. Only the object tells whether the last epoch was settled.
+func (c *Cell) successorMembershipLocked(o *cellObject, m *membership) *membership {
+	v := c.view.membership
 	settled := m != nil && o.Settled
 	if m == nil || v != nil && v.epoch > m.epoch {
-		if v == nil && m == nil && o == nil && c.candidate.version != store.Absent {
-			// The object is unreadable and nothing else is known of the cell;
-			// a new one could contradict homes that exist.
+		if v == nil && m == nil && o == nil && c.election.version != store.Absent {
+			// The object is unreadable and this daemon knows no epoch. A new object
+			// could conflict with existing homes.
 			meter.Count("cell.takeover.blocked", 1)
 			return nil
 		}
@@ -150,18 +153,18 @@
 	if m == nil {
 		self := []Member{c.self}
 		return &membership{
-			cell: c.cfg.cell, term: 1, epoch: 1, keeper: c.self, members: self,
-			// With an empty base nobody would have to acknowledge the next
-			// epoch, while this daemon alone is a majority of this one.
+			cell: c.cfg.cell, term: 1, epoch: 1, leader: c.self, members: self,
+			// With an empty base, the next epoch could settle without any
+			// acknowledgement, although this daemon alone is a majority of this one.
 			base:       self,
-			generation: c.config.doc.Generation, digest: c.config.digest(),
+			generation: c.configuration.doc.Generation, digest: c.configuration.digest(),
 		}
 	}
 	next := *m
-	next.term, next.epoch, next.keeper = m.term+1, m.epoch+1, c.self
-	next.previous = union(m.members, m.previous)
+	next.term, next.epoch, next.leader = m.term+1, m.epoch+1, c.self
+	next.previous = unionMembers(m.members, m.previous)
 	if settled {
-		next.previous, next.baseEpoch = staying(m.members), m.epoch
+		next.previous, next.baseEpoch = stayingMembers(m.members), m.epoch
 		next.base = next.previous
 	}
 	next.members = slices.DeleteFunc(slices.Clone(m.members), func(x Member) bool {
@@ -174,20 +177,21 @@
 	return &next
 }
 
-// takeOver writes the first epoch of the next term.
+// takeOver writes the first epoch of the next term and makes this daemon the leader
+// if the write succeeds. yields says that the previous leader was yielding.
 func (c *Cell) takeOver(next *membership, expected uint64, yields bool) {
 	sent := c.cfg.clk.Boot()
 	o := newObject(next)
-	o.Token = c.cfg.token()
+	o.Token = c.cfg.newToken()
 	value, err := o.encode()
 	if err != nil {
-		log.Error().Err(err).Msg("cannot encode the membership")
+		log.Error().Err(err).Msg("cannot encode the cell object; not taking over")
 		return
 	}
 	obj, err := c.put(value, expected)
 	if err != nil {
-		if obj, err = c.get(c.key()); err == nil {
-			var got *object
+		if obj, err = c.get(c.objectKey()); err == nil {
+			var got *cellObject
 			if got, _, err = decodeObject(obj.Value(), c.cfg.cell); err == nil && got.Token != o.Token {
 				err = store.ErrConflict
 			}
@@ -196,19 +200,19 @@
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.unlock()
-	c.candidate = candidate{next: now + candidateInterval}
-	if err != nil || !next.newer(c.view.m) {
+	c.election = election{next: now + candidateInterval}
+	if err != nil || !next.isNewerThan(c.view.membership) {
 		return
 	}
 	meter.Count("cell.takeover", 1)
 	log.Info().Str("cell", c.cfg.cell).Uint64("term", next.term).Msg("became keeper")
 	since := now
 	if yields {
-		// The keeper before may grant leases until its last write expires.
-		since += storeLease
+		// The previous leader may grant leases until its store lease expires.
+		since += storeLeaseDuration
 	}
-	c.keeper = newKeeper(next, obj.Version(), since, sent)
+	c.leader = newLeaderState(next, obj.Version(), since, sent)
 	c.adoptLocked(now, next)
-	c.announceLocked(next)
-	c.beat.next = 0
+	c.announceMembershipLocked(next)
+	c.heartbeat.next = 0
 }
--- a/cell/fakestore_test.go
+++ b/cell/fakestore_test.go
@@ -7,23 +7,23 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// fakeStore is a store with outages, lost replies and writes that take effect
-// after their caller stopped waiting.
+// fakeStore simulates a store with outages, lost replies and writes that take effect
+// after the caller's timeout.
 type fakeStore struct {
-	f          *fleet
-	objects    map[string]store.Object
-	down       bool
-	slow       time.Duration // Added to each write before it takes effect.
-	loss       float64
-	generation uint64
-	gets, puts int
-	watches    int
-	silent     bool // Watches wait for good.
-	waiting    int
+	f              *fleet
+	objects        map[string]store.Object
+	down           bool
+	writeDelay     time.Duration // Delay of each write before it takes effect.
+	lossRate       float64
+	generation     uint64
+	gets, puts     int
+	watches        int
+	silentWatches  bool // Watches do not report changes.
+	waitingWatches int
 }
 
-// apply writes a configuration as an operator would.
-func (s *fakeStore) apply(d Document) {
+// applyConfiguration writes a configuration, as an operator does.
+func (s *fakeStore) applyConfiguration(d Document) {
 	value, err := d.Encode()
 	if err != nil {
 		s.f.t.Fatal(err)
@@ -37,23 +37,23 @@
 	return s.objects[key]
 }
 
-// nodeStore is the store as one node reaches it.
+// nodeStore is the connection of one node to the store.
 type nodeStore struct {
 	*fakeStore
 	n *node
 }
 
-func (s nodeStore) away() bool { return s.down || s.n.storeCut || s.n.dead }
+func (s nodeStore) isUnreachable() bool { return s.down || s.n.storeCut || s.n.dead }
 
 func (s nodeStore) Get(_ context.Context, key string) (store.Object, error) {
 	s.gets++
-	s.f.sleep(s.n, s.f.between(time.Millisecond, 20*time.Millisecond))
-	if s.away() || s.f.rng.Float64() < s.loss {
-		s.f.sleep(s.n, storeTime)
+	s.f.sleep(s.n, s.f.randomDuration(time.Millisecond, 20*time.Millisecond))
+	if s.isUnreachable() || s.f.rng.Float64() < s.lossRate {
+		s.f.sleep(s.n, storeTimeout)
 		return store.Object{}, store.ErrUnavailable
 	}
 	o, ok := s.objects[key]
-	s.f.sleep(s.n, s.f.between(time.Millisecond, 20*time.Millisecond))
+	s.f.sleep(s.n, s.f.randomDuration(time.Millisecond, 20*time.Millisecond))
 	if !ok {
 		return store.Object{}, store.ErrNotFound
 	}
@@ -69,27 +69,27 @@
 		return s.set(key, value), nil
 	}
 	lost := s.f.rng.Float64()
-	if lost < s.loss && !s.n.dead {
-		s.f.start(nil, s.f.between(0, 6*time.Second), func() {
+	if lost < s.lossRate && !s.n.dead {
+		s.f.start(nil, s.f.randomDuration(0, 6*time.Second), func() {
 			if !s.down {
 				_, _ = write()
 			}
 		})
 	}
-	if s.slow >= storeTime {
-		s.f.start(nil, s.slow, func() { _, _ = write() })
-		s.f.sleep(s.n, storeTime)
+	if s.writeDelay >= storeTimeout {
+		s.f.start(nil, s.writeDelay, func() { _, _ = write() })
+		s.f.sleep(s.n, storeTimeout)
 		return store.Object{}, store.ErrUnavailable
 	}
-	s.f.sleep(nil, s.slow+s.f.between(time.Millisecond, 20*time.Millisecond))
-	if s.away() || lost < s.loss {
-		s.f.sleep(s.n, storeTime)
+	s.f.sleep(nil, s.writeDelay+s.f.randomDuration(time.Millisecond, 20*time.Millisecond))
+	if s.isUnreachable() || lost < s.lossRate {
+		s.f.sleep(s.n, storeTimeout)
 		return store.Object{}, store.ErrUnavailable
 	}
 	o, err := write()
-	s.f.sleep(s.n, s.f.between(time.Millisecond, 20*time.Millisecond))
-	if s.f.rng.Float64() < s.loss {
-		s.f.sleep(s.n, storeTime)
+	s.f.sleep(s.n, s.f.randomDuration(time.Millisecond, 20*time.Millisecond))
+	if s.f.rng.Float64() < s.lossRate {
+		s.f.sleep(s.n, storeTimeout)
 		return store.Object{}, store.ErrUnavailable
 	}
 	return o, err
@@ -97,15 +97,15 @@
 
 func (s nodeStore) Watch(_ context.Context, key string, seen uint64) (store.Object, error) {
 	s.watches++
-	s.waiting++
-	defer func() { s.waiting-- }()
-	end := s.f.clk.Boot() + watchTime
+	s.waitingWatches++
+	defer func() { s.waitingWatches-- }()
+	end := s.f.clk.Boot() + watchTimeout
 	for s.f.clk.Boot() < end {
 		s.f.sleep(s.n, 100*time.Millisecond)
-		if s.away() || s.f.rng.Float64() < s.loss/50 {
+		if s.isUnreachable() || s.f.rng.Float64() < s.lossRate/50 {
 			return store.Object{}, store.ErrUnavailable
 		}
-		if o := s.objects[key]; o.Version() != seen && !s.silent {
+		if o := s.objects[key]; o.Version() != seen && !s.silentWatches {
 			return o, nil
 		}
 	}
--- a/cell/inputs.go
+++ b/cell/inputs.go
@@ -8,9 +8,9 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// inputs is what a catalogue contributes to the choice of homes. All members
-// must use the same inputs at one epoch, otherwise two of them could think that
-// they are home of a group; the digest identifies them.
+// inputs holds the part of a catalogue from which homes are computed. All members
+// must use the same inputs in an epoch; otherwise two members could both consider
+// themselves home of a group. The digest identifies the inputs.
 type inputs struct {
 	groups    []groupInput
 	inService map[string]bool
@@ -51,7 +51,8 @@
 	return in
 }
 
-// hashStrings ends each string and each list with bytes that names do not contain.
+// hashStrings hashes list. It terminates each string and the list with bytes that
+// names do not contain.
 func hashStrings(h *xxhash.Digest, list []string) {
 	for _, s := range list {
 		_, _ = h.WriteString(s)
--- a/cell/hostile_test.go
+++ b/cell/invalidinput_test.go
@@ -14,10 +14,10 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// Guards against a malformed, huge or contradictory configuration that replaces
-// the last good one, and against a repaired one that is then refused.
+// Guards against a malformed, oversized or contradictory configuration replacing the
+// one in force, and against rejecting a valid one afterwards.
 func TestBadConfigurations(t *testing.T) {
-	f := running(t, 3)
+	f := newRunningFleet(t, 3)
 	for _, c := range [][2]string{
 		{"garbage", "{"},
 		{"no generation", `{"token":"x","text":"0 x."}`},
@@ -30,68 +30,68 @@
 		name, value := c[0], c[1]
 		before := meter.Value("cell.refused.configuration")
 		f.st.set(CatalogueKey, []byte(value))
-		f.steady(time.Second, name, f.whole)
+		f.requireDuring(time.Second, name, f.checkConverged)
 		if meter.Value("cell.refused.configuration") == before {
 			t.Errorf("%s: not counted", name)
 		}
 	}
 	f.st.set(CatalogueKey, []byte(`{"generation":0}`))
-	f.st.apply(catalogueText(2, "", 1))
-	f.want(4*time.Second, "repaired", f.whole)
+	f.st.applyConfiguration(catalogueText(2, "", 1))
+	f.waitUntil(4*time.Second, "repaired", f.checkConverged)
 }
 
-// Guards against a configuration that reverts when an operator or a restored
-// store writes an older one.
+// Guards against installing an older configuration that an operator or a restored
+// store writes.
 func TestOlderConfiguration(t *testing.T) {
-	f := running(t, 3)
-	f.st.apply(catalogueText(5, "", 1))
-	f.run(4*time.Second, f.check)
-	f.st.apply(catalogueText(4, "", 2))
+	f := newRunningFleet(t, 3)
+	f.st.applyConfiguration(catalogueText(5, "", 1))
+	f.run(4*time.Second, f.checkShares)
+	f.st.applyConfiguration(catalogueText(4, "", 2))
 	f.st.generation = 5
-	f.steady(70*time.Second, "older", f.whole)
+	f.requireDuring(70*time.Second, "older", f.checkConverged)
 }
 
-// Guards against a cell object that others overwrote, deleted or set back: homes
-// stay where they are and a keeper writes it again.
+// Guards against homes moving when the cell object is overwritten or reset to an older
+// state. A leader must write a valid object again.
 func TestBadCellObjects(t *testing.T) {
-	f := running(t, 5)
+	f := newRunningFleet(t, 5)
 	old := f.st.objects["cell/c"].Value()
-	f.run(5*time.Second, f.check)
+	f.run(5*time.Second, f.checkShares)
 	for _, c := range [][2]string{
 		{"garbage", "]"},
 		{"empty", `{"cell":"c","term":1,"epoch":1}`},
 		{"bad index", strings.Replace(string(old), `"keeper":0`, `"keeper":77`, 1)},
-		{"set back", string(old)},
+		{"older object", string(old)},
 		{"far ahead", strings.Replace(string(old), `"epoch":`, `"epoch":900000000`, 1)},
 		{"term earlier", strings.Replace(string(old), `"epoch":`, `"epoch":90`, 1)},
 		{"term far ahead", strings.Replace(string(old), `"term":`, `"term":900000000`, 1)},
 	} {
 		name, value := c[0], c[1]
-		epoch := f.nodes[0].cell.view.m.epoch
+		epoch := f.nodes[0].cell.view.membership.epoch
 		f.st.set("cell/c", []byte(value))
-		f.steady(2*time.Second, name, func() error { return f.homes(lease.Full, f.ids) })
-		f.want(20*time.Second, name+" repaired", func() error {
+		f.requireDuring(2*time.Second, name, func() error { return f.checkHomes(lease.Full, f.groupIDs) })
+		f.waitUntil(20*time.Second, name+" repaired", func() error {
 			for _, n := range f.nodes {
-				if n.cell.view.m.epoch <= epoch || n.cell.view.m.epoch > epoch+100 {
-					return fmt.Errorf("vm%d has epoch %d after %d", n.pos, n.cell.view.m.epoch, epoch)
+				if n.cell.view.membership.epoch <= epoch || n.cell.view.membership.epoch > epoch+100 {
+					return fmt.Errorf("vm%d has epoch %d after %d", n.index, n.cell.view.membership.epoch, epoch)
 				}
 			}
-			return f.whole()
+			return f.checkConverged()
 		})
 	}
 }
 
-// Guards against peer messages that change the view of a daemon although they
-// are malformed or far ahead.
+// Guards against malformed peer messages, or ones with an epoch too far ahead,
+// changing the state of a daemon.
 func TestBadPeerMessages(t *testing.T) {
-	f := running(t, 3)
+	f := newRunningFleet(t, 3)
 	n := f.nodes[0]
-	good := n.cell.view.m.wire()
+	good := n.cell.view.membership.wire()
 	good.Epoch++
 	for name, change := range map[string]func(m *peerpb.Membership){
 		"other cell":    func(m *peerpb.Membership) { m.Cell = "x" },
 		"far ahead":     func(m *peerpb.Membership) { m.Epoch += 1 << 40 },
-		"no keeper":     func(m *peerpb.Membership) { m.KeeperIncarnation = "" },
+		"no leader":     func(m *peerpb.Membership) { m.KeeperIncarnation = "" },
 		"no members":    func(m *peerpb.Membership) { m.Members = nil },
 		"nil member":    func(m *peerpb.Membership) { m.Members = append(m.Members, nil) },
 		"twice":         func(m *peerpb.Membership) { m.Members = append(m.Members, m.Members[0]) },
@@ -106,7 +106,7 @@
 		if _, err := n.cell.HandleSync(context.Background(), &peerpb.SyncRequest{Membership: m}); err != nil {
 			t.Fatal(err)
 		}
-		if n.cell.view.m.epoch >= good.Epoch || meter.Value("cell.refused.membership") == before {
+		if n.cell.view.membership.epoch >= good.Epoch || meter.Value("cell.refused.membership") == before {
 			t.Errorf("%s: adopted or not counted", name)
 		}
 	}
@@ -116,39 +116,38 @@
 		"acknowledged": {Member: n.cell.self.wire(), KnownEpoch: 1, Epoch: 2},
 		"impostor":     {Member: &peerpb.Member{Name: "x", Incarnation: n.cell.self.Incarnation(), PeerAddress: "y"}, KnownEpoch: good.Epoch - 1},
 	} {
-		if r, _ := f.keeper().cell.HandleHeartbeat(context.Background(), in); r.Accepted {
+		if r, _ := f.leader().cell.HandleHeartbeat(context.Background(), in); r.Accepted {
 			t.Errorf("heartbeat %s accepted", name)
 		}
 	}
 }
 
-// Guards against watches that go silent: the direct reads still bring the
-// configuration within about a minute, and a renewed watch sooner.
+// Guards against depending on watches that went silent: the direct reads must return
+// the configuration within checkInterval.
 func TestSilentWatches(t *testing.T) {
 	t.Parallel()
-	f := running(t, 5)
-	f.st.silent = true
-	f.run(watchTime, f.check)
-	f.st.apply(catalogueText(2, "", 1))
-	f.want(checkInterval, "direct reads", f.whole)
+	f := newRunningFleet(t, 5)
+	f.st.silentWatches = true
+	f.run(watchTimeout, f.checkShares)
+	f.st.applyConfiguration(catalogueText(2, "", 1))
+	f.waitUntil(checkInterval, "direct reads", f.checkConverged)
 }
 
-// Guards against store calls that grow with time or members beyond the bound:
-// one write for each renewal, one direct read a minute for each member, and the
-// watches of two members of each failure domain.
+// Guards against more store calls than one write per renewal, one direct read per
+// minute and member, and the watches of two members per failure domain.
 func TestStoreCalls(t *testing.T) {
 	t.Parallel()
-	f := running(t, 9)
-	f.run(10*time.Second, f.check)
+	f := newRunningFleet(t, 9)
+	f.run(10*time.Second, f.checkShares)
 	f.st.gets, f.st.puts, f.st.watches = 0, 0, 0
-	f.run(2*time.Minute, f.check)
+	f.run(2*time.Minute, f.checkShares)
 	if most := int(2 * time.Minute / renewInterval); f.st.puts > most {
 		t.Errorf("%d writes, at most %d", f.st.puts, most)
 	}
 	if f.st.gets > 3*9 {
 		t.Errorf("%d reads, at most 3 for each member", f.st.gets)
 	}
-	if most := watchersPerDomain * domains; f.st.waiting > most || f.st.watches > 5*most {
-		t.Errorf("%d waiting watches and %d made, at most %d and %d", f.st.waiting, f.st.watches, most, 5*most)
+	if most := watchersPerDomain * domains; f.st.waitingWatches > most || f.st.watches > 5*most {
+		t.Errorf("%d waiting watches and %d made, at most %d and %d", f.st.waitingWatches, f.st.watches, most, 5*most)
 	}
 }
--- a/cell/leave.go
+++ b/cell/leave.go
@@ -7,52 +7,54 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// leaveCheck is the time between looks at whether the homes are handed over.
-const leaveCheck = 50 * time.Millisecond
+// leaveCheckInterval is the interval at which Leave checks for completion.
+const leaveCheckInterval = 50 * time.Millisecond
 
-// Leave announces that this daemon is leaving and waits until its homes are
-// handed over or its lease has ended. A keeper then gives up its store lease.
+// Leave announces that this daemon is leaving and waits until the handoff of its
+// homes is complete or its lease has expired. A leader then releases its store
+// lease. Leave returns an error only if ctx is done first.
 func (c *Cell) Leave(ctx context.Context) error {
 	c.mu.Lock()
 	c.leaving = true
-	c.beat.next = 0
+	c.heartbeat.next = 0
 	c.unlock()
-	for !c.left() {
-		if err := clock.Sleep(ctx, c.cfg.clk, leaveCheck); err != nil {
+	for !c.tryLeave() {
+		if err := clock.Sleep(ctx, c.cfg.clk, leaveCheckInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// left reports whether nothing depends on this daemon any more.
-func (c *Cell) left() bool {
+// tryLeave reports whether the cell no longer depends on this daemon. If only the
+// store lease is left, it starts the write that releases it.
+func (c *Cell) tryLeave() bool {
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	defer c.unlock()
 	v := &c.view
-	if v.m == nil || now >= max(v.live(), v.minor) {
+	if v.membership == nil || now >= max(v.leaseEnd(), v.actingLease) {
 		return true
 	}
-	me, ok := v.m.member(c.self.Incarnation())
-	// Without a successor there is nobody to wait for: the epoch may never
-	// settle, because a majority of the last settled one can have left already.
-	if ok && (!me.Leaving() || (!v.settled && v.m.hasSuccessor())) {
+	me, ok := v.membership.member(c.self.Incarnation())
+	// Without a successor the epoch may never settle, because a majority of the
+	// last settled epoch can have left already.
+	if ok && (!me.Leaving() || (!v.settled && v.membership.hasSuccessor())) {
 		return false
 	}
-	k := c.keeper
-	if k == nil {
+	l := c.leader
+	if l == nil {
 		return true
 	}
-	if !k.writing && !k.stopped {
-		// No grant may follow the write that gives up the lease.
-		k.stopped = true
-		c.writeLocked(now, k.cur, true)
+	if !l.writing && !l.leaseReleased {
+		// The leader must not grant leases after the write that releases its lease.
+		l.leaseReleased = true
+		c.writeObjectLocked(now, l.current, true)
 	}
 	return false
 }
 
-// hasSuccessor reports whether any member stays.
+// hasSuccessor reports whether any member is not leaving.
 func (m *membership) hasSuccessor() bool {
 	for _, x := range m.members {
 		if !x.Leaving() {
--- a/cell/object.go
+++ b/cell/object.go
@@ -6,9 +6,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// object is the value of cell/<cell>: the membership and the keeper's lease.
-// Every renewal writes it, so members are listed once and referred to by index.
-type object struct {
+// cellObject is the value of the store key cell/<cell>: the membership and the
+// leader's lease. Every renewal writes it, so to keep it small each daemon is listed
+// once and referred to by index.
+type cellObject struct {
 	Cell       string   `json:"cell"`
 	Term       uint64   `json:"term"`
 	Epoch      uint64   `json:"epoch"`
@@ -16,17 +17,18 @@
 	Generation uint64   `json:"generation"`
 	Digest     uint64   `json:"digest"`
 	Settled    bool     `json:"settled"`  // No home of an earlier epoch remains.
-	Released   bool     `json:"released"` // The keeper gave up its lease.
-	Yields     bool     `json:"yields"`   // The keeper hears only a minority; a member that reaches a majority may take over.
+	Released   bool     `json:"released"` // The leader released its lease.
+	Yields     bool     `json:"yields"`   // The leader gets heartbeats only from a minority; a member that reaches a majority may take over.
 	Renewal    uint64   `json:"renewal"`
 	Token      string   `json:"token"`
-	Keeper     int      `json:"keeper"`
+	Leader     int      `json:"keeper"`
 	Daemons    []daemon `json:"daemons"`
 	Members    []int    `json:"members"`
 	Previous   []int    `json:"previous,omitempty"`
 	Base       []int    `json:"base,omitempty"`
 }
 
+// daemon is the stored form of a Member.
 type daemon struct {
 	Name          string `json:"name"`
 	Incarnation   string `json:"incarnation"`
@@ -37,28 +39,28 @@
 	Leaving       bool   `json:"leaving,omitempty"`
 }
 
-func newObject(m *membership) *object {
-	o := &object{
+func newObject(m *membership) *cellObject {
+	o := &cellObject{
 		Cell: m.cell, Term: m.term, Epoch: m.epoch, BaseEpoch: m.baseEpoch,
 		Generation: m.generation, Digest: m.digest,
 	}
-	o.Members = o.refer(m.members)
-	o.Keeper = o.refer([]Member{m.keeper})[0]
-	o.Previous = o.refer(m.previous)
-	o.Base = o.refer(m.base)
+	o.Members = o.indexesOf(m.members)
+	o.Leader = o.indexesOf([]Member{m.leader})[0]
+	o.Previous = o.indexesOf(m.previous)
+	o.Base = o.indexesOf(m.base)
 	return o
 }
 
-// refer returns the indexes of list, adding what is missing to the daemons.
-func (o *object) refer(list []Member) []int {
+// indexesOf returns the indexes of list in o.Daemons and appends missing members.
+func (o *cellObject) indexesOf(list []Member) []int {
 	out := make([]int, 0, len(list))
 	for _, m := range list {
-		out = append(out, o.index(m))
+		out = append(out, o.indexOf(m))
 	}
 	return out
 }
 
-func (o *object) index(m Member) int {
+func (o *cellObject) indexOf(m Member) int {
 	for i, d := range o.Daemons {
 		if d.Incarnation == m.Incarnation() {
 			return i
@@ -68,7 +70,7 @@
 	return len(o.Daemons) - 1
 }
 
-func (o *object) encode() ([]byte, error) {
+func (o *cellObject) encode() ([]byte, error) {
 	value, err := json.Marshal(o)
 	if err == nil && len(value) > maxObject {
 		err = eris.Errorf("membership object has %d bytes, the limit is %d", len(value), maxObject)
@@ -76,12 +78,12 @@
 	return value, err
 }
 
-// decodeObject reads and checks the value of cell/<cell>.
-func decodeObject(value []byte, cell string) (*object, *membership, error) {
+// decodeObject decodes and validates the value of the store key cell/<cell>.
+func decodeObject(value []byte, cell string) (*cellObject, *membership, error) {
 	if len(value) > maxObject {
 		return nil, nil, eris.Errorf("membership object has %d bytes, the limit is %d", len(value), maxObject)
 	}
-	var o object
+	var o cellObject
 	if err := json.Unmarshal(value, &o); err != nil {
 		return nil, nil, eris.Wrap(err, "membership object is not valid JSON")
 	}
@@ -92,23 +94,24 @@
 		cell: o.Cell, term: o.Term, epoch: o.Epoch, baseEpoch: o.BaseEpoch,
 		generation: o.Generation, digest: o.Digest,
 	}
-	keeper, err := o.resolve([]int{o.Keeper})
+	leader, err := o.membersAt([]int{o.Leader})
 	if err != nil {
 		return nil, nil, err
 	}
-	m.keeper = keeper[0]
+	m.leader = leader[0]
 	for _, l := range []struct {
 		refs []int
 		out  *[]Member
 	}{{o.Members, &m.members}, {o.Previous, &m.previous}, {o.Base, &m.base}} {
-		if *l.out, err = o.resolve(l.refs); err != nil {
+		if *l.out, err = o.membersAt(l.refs); err != nil {
 			return nil, nil, err
 		}
 	}
 	return &o, m, m.check(cell)
 }
 
-func (o *object) resolve(refs []int) ([]Member, error) {
+// membersAt returns the daemons at the indexes refs.
+func (o *cellObject) membersAt(refs []int) ([]Member, error) {
 	out := make([]Member, 0, len(refs))
 	for _, i := range refs {
 		if i < 0 || i >= len(o.Daemons) {
--- a/cell/option.go
+++ b/cell/option.go
@@ -10,34 +10,34 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// Option changes a Cell.
+// Option configures a Cell.
 type Option func(*config)
 
 type config struct {
-	clk     clock.Clock
-	st      store.Store
-	cell    string
-	calls   Calls
-	parse   func(name, text string, generation uint64) (catalogue.Estate, error)
-	seeds   []string
-	vms     func(name string) (listed, known bool)
-	release func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup
-	adopt   func([]*peerpb.ReleasedGroup)
-	groups  func(catalogue.Estate) []catalogue.Group
-	spawn   func(func())
-	token   func() string
+	clk           clock.Clock
+	store         store.Store
+	cell          string
+	calls         Calls
+	parse         func(name, text string, generation uint64) (catalogue.Estate, error)
+	seeds         []string
+	lookupVM      func(name string) (listed, known bool)
+	releaseGroups func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup
+	importGroups  func([]*peerpb.ReleasedGroup)
+	selectGroups  func(catalogue.Estate) []catalogue.Group
+	spawn         func(func())
+	newToken      func() string
 }
 
 func newConfig(opts []Option) config {
 	c := config{
-		clk:     clock.System{},
-		cell:    "main",
-		vms:     func(string) (bool, bool) { return false, false },
-		release: func(context.Context, []string) []*peerpb.ReleasedGroup { return nil },
-		adopt:   func([]*peerpb.ReleasedGroup) {},
-		groups:  allGroups,
-		spawn:   func(f func()) { go f() },
-		token:   rand.Text,
+		clk:           clock.System{},
+		cell:          "main",
+		lookupVM:      func(string) (bool, bool) { return false, false },
+		releaseGroups: func(context.Context, []string) []*peerpb.ReleasedGroup { return nil },
+		importGroups:  func([]*peerpb.ReleasedGroup) {},
+		selectGroups:  allGroups,
+		spawn:         func(f func()) { go f() },
+		newToken:      rand.Text,
 	}
 	for _, o := range opts {
 		o(&c)
@@ -45,11 +45,13 @@
 	return c
 }
 
-// withSpawn and withToken make a run repeatable: tests start tasks one at a time
-// and number the tokens.
+// withSpawn sets the function that starts tasks. Tests run tasks one at a time for
+// repeatable runs.
 func withSpawn(spawn func(func())) Option { return func(c *config) { c.spawn = spawn } }
 
-func withToken(token func() string) Option { return func(c *config) { c.token = token } }
+// withToken sets the source of write tokens. Tests number the tokens for repeatable
+// runs.
+func withToken(token func() string) Option { return func(c *config) { c.newToken = token } }
 
 func allGroups(e catalogue.Estate) []catalogue.Group {
 	var groups []catalogue.Group
@@ -59,11 +61,11 @@
 	return groups
 }
 
-// WithClock sets the clock of timers and leases.
+// WithClock sets the clock for timers and leases, the system clock by default.
 func WithClock(clk clock.Clock) Option { return func(c *config) { c.clk = clk } }
 
 // WithStore sets the platform's store.
-func WithStore(st store.Store) Option { return func(c *config) { c.st = st } }
+func WithStore(st store.Store) Option { return func(c *config) { c.store = st } }
 
 // WithName sets the name of the cell, "main" by default.
 func WithName(name string) Option { return func(c *config) { c.cell = name } }
@@ -71,8 +73,8 @@
 // WithCalls sets the peer calls.
 func WithCalls(calls Calls) Option { return func(c *config) { c.calls = calls } }
 
-// WithParse sets the function that turns catalogue text into an Estate;
-// evaluate.Text fits.
+// WithParse sets the function that parses catalogue text into an Estate, for example
+// evaluate.Text.
 func WithParse(parse func(name, text string, generation uint64) (catalogue.Estate, error)) Option {
 	return func(c *config) { c.parse = parse }
 }
@@ -81,24 +83,25 @@
 // membership when the store does not answer.
 func WithSeeds(addresses []string) Option { return func(c *config) { c.seeds = addresses } }
 
-// WithVMs sets the lookup in the VM list by member name. known is false when no
-// list has been read. It must not block or call the Cell.
+// WithVMs sets the function that looks up a member name in the VM list. It returns
+// known as false if no list has been read. It must not block or call the Cell.
 func WithVMs(vms func(name string) (listed, known bool)) Option {
-	return func(c *config) { c.vms = vms }
+	return func(c *config) { c.lookupVM = vms }
 }
 
-// WithRelease sets the function that stops the homes of groups. It returns when
-// none of their requests is in flight, with what the homes learned.
+// WithRelease sets the function that stops the homes of groups. It returns the
+// estimates of these homes once none of their requests is in flight.
 func WithRelease(release func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup) Option {
-	return func(c *config) { c.release = release }
+	return func(c *config) { c.releaseGroups = release }
 }
 
-// WithImport sets the function that receives what the previous homes learned.
+// WithImport sets the function that receives the estimates of previous homes.
 func WithImport(adopt func([]*peerpb.ReleasedGroup)) Option {
-	return func(c *config) { c.adopt = adopt }
+	return func(c *config) { c.importGroups = adopt }
 }
 
-// WithGroups selects the replica groups that the cell is home of, all by default.
+// WithGroups sets the function that selects the replica groups for which the cell
+// assigns homes, all groups by default.
 func WithGroups(groups func(catalogue.Estate) []catalogue.Group) Option {
-	return func(c *config) { c.groups = groups }
+	return func(c *config) { c.selectGroups = groups }
 }
--- a/cell/poll.go
+++ b/cell/poll.go
@@ -7,135 +7,141 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// poll asks the members for their epoch while no keeper grants leases.
+// poll is the state of the rounds in which this daemon asks all members for their
+// epoch while no leader grants leases.
 type poll struct {
-	next       time.Duration
-	standstill bool // The last lease came from a majority.
-	since      time.Duration
-	seed       int // Next seed to ask.
-	seeding    bool
-	last       *round // The round before the current one.
-	current    *round
+	next            time.Duration
+	standstill      bool // A majority extends the lease instead of a leader.
+	standstillSince time.Duration
+	nextSeed        int // Counts the seeds asked; the next seed is taken modulo their number.
+	askingSeed      bool
+	lastRound       *pollRound // The round before currentRound.
+	currentRound    *pollRound
 }
 
-// round is one time of asking all members.
-type round struct {
-	sent  time.Duration
-	self  string // Incarnation of the one that asks.
-	m     *membership
-	same  map[string]bool // Incarnations that know no later epoch.
-	store bool            // One of them sees the store.
+// pollRound is one round of Sync calls to all members.
+type pollRound struct {
+	sent            time.Duration
+	selfIncarnation string // Incarnation of this daemon.
+	membership      *membership
+	agreeing        map[string]bool // Incarnations that replied and know no later epoch or term.
+	seesStore       bool            // This daemon or one of agreeing sees the store.
 }
 
 func (c *Cell) pollLocked(now time.Duration) {
-	if !c.beat.unheard(now) {
-		c.poll.standstill, c.poll.last, c.poll.current = false, nil, nil
+	if !c.heartbeat.grantOverdue(now) {
+		c.poll.standstill, c.poll.lastRound, c.poll.currentRound = false, nil, nil
 		return
 	}
 	if now < c.poll.next {
 		return
 	}
 	c.poll.next = now + pollInterval
-	c.seedLocked(now)
-	if c.view.m == nil {
+	c.askSeedLocked(now)
+	if c.view.membership == nil {
 		return
 	}
-	r := &round{sent: now, self: c.self.Incarnation(), m: c.view.m, same: make(map[string]bool), store: c.contact.seesStore(now)}
-	if _, ok := r.m.member(c.self.Incarnation()); !ok {
+	r := &pollRound{sent: now, selfIncarnation: c.self.Incarnation(), membership: c.view.membership, agreeing: make(map[string]bool), seesStore: c.contact.seesStore(now)}
+	if _, ok := r.membership.member(c.self.Incarnation()); !ok {
 		return
 	}
-	c.poll.last, c.poll.current = c.poll.current, r
-	c.countLocked(now, r)
-	for _, m := range union(r.m.members, r.m.base) {
+	c.poll.lastRound, c.poll.currentRound = c.poll.currentRound, r
+	c.extendMajorityLeaseLocked(now, r)
+	for _, m := range unionMembers(r.membership.members, r.membership.base) {
 		if m.Incarnation() != c.self.Incarnation() {
-			c.askMemberLocked(r, m)
+			c.pollMemberLocked(r, m)
 		}
 	}
 }
 
-// missed reports whether m did not reply in the last complete round.
-func (p *poll) missed(m, self Member) bool {
-	return p.last != nil && m.Incarnation() != self.Incarnation() && !p.last.same[m.Incarnation()]
+// missedLastRound reports whether m did not agree in the last complete round.
+func (p *poll) missedLastRound(m, self Member) bool {
+	return p.lastRound != nil && m.Incarnation() != self.Incarnation() && !p.lastRound.agreeing[m.Incarnation()]
 }
 
-// reaches reports whether a majority of m replied lately.
-func (p *poll) reaches(now time.Duration, m *membership) bool {
-	r := p.last
-	return r != nil && now-r.sent < 3*pollInterval && majority(staying(m.members), func(x Member) bool {
-		return r.self == x.Incarnation() || r.same[x.Incarnation()]
+// reachesMajority reports whether a majority of the staying members of m agreed in
+// the last complete round, sent less than three poll intervals ago.
+func (p *poll) reachesMajority(now time.Duration, m *membership) bool {
+	r := p.lastRound
+	return r != nil && now-r.sent < 3*pollInterval && isMajority(stayingMembers(m.members), func(x Member) bool {
+		return r.selfIncarnation == x.Incarnation() || r.agreeing[x.Incarnation()]
 	})
 }
 
-func (c *Cell) askMemberLocked(r *round, m Member) {
+// pollMemberLocked asks m for its epoch and counts its reply in r.
+func (c *Cell) pollMemberLocked(r *pollRound, m Member) {
 	in := c.syncRequestLocked()
-	c.later(func() {
-		reply := c.sync(m.PeerAddress(), in)
+	c.queueTask(func() {
+		reply := c.callSync(m.PeerAddress(), in)
 		if reply == nil {
 			return
 		}
 		now := c.cfg.clk.Boot()
 		c.mu.Lock()
 		defer c.unlock()
-		if reply.Incarnation != m.Incarnation() || reply.Epoch > r.m.epoch || reply.Term > r.m.term {
+		if reply.Incarnation != m.Incarnation() || reply.Epoch > r.membership.epoch || reply.Term > r.membership.term {
 			return
 		}
-		r.same[m.Incarnation()] = true
-		r.store = r.store || reply.SeesStore
-		c.countLocked(now, r)
+		r.agreeing[m.Incarnation()] = true
+		r.seesStore = r.seesStore || reply.SeesStore
+		c.extendMajorityLeaseLocked(now, r)
 	})
 }
 
-// countLocked extends the lease when a majority knows no later epoch. A later
-// epoch becomes settled only after a majority of its base has acknowledged it,
-// and the two majorities share a daemon. The base of the next epoch is the
-// members of this one that stay once the store has this epoch as settled; until
-// then it may be this epoch's base as well, so a majority of both is needed.
-func (c *Cell) countLocked(now time.Duration, r *round) {
-	if c.view.m != r.m {
+// extendMajorityLeaseLocked extends the lease if a majority of the members knows no
+// later epoch. This is safe because a later epoch settles only after a majority of its
+// base has acknowledged it, and the two majorities share a daemon. Once the store
+// records this epoch as settled, the base of the next epoch is the staying members of
+// this one. Until then it may also be the base of this epoch, so majorities of both
+// are required. Without them this daemon may act as a stand-in if any member agrees.
+func (c *Cell) extendMajorityLeaseLocked(now time.Duration, r *pollRound) {
+	if c.view.membership != r.membership {
 		return
 	}
-	end := r.sent + standstillTime
-	ok := func(m Member) bool { return m.Incarnation() == c.self.Incarnation() || r.same[m.Incarnation()] }
+	end := r.sent + standstillLease
+	ok := func(m Member) bool { return m.Incarnation() == c.self.Incarnation() || r.agreeing[m.Incarnation()] }
 	switch {
-	case !majority(staying(r.m.members), ok) || !c.view.recorded && !majority(r.m.base, ok):
-		if len(r.same) > 0 {
-			c.view.minor = max(c.view.minor, end)
+	case !isMajority(stayingMembers(r.membership.members), ok) || !c.view.settledStored && !isMajority(r.membership.base, ok):
+		if len(r.agreeing) > 0 {
+			c.view.actingLease = max(c.view.actingLease, end)
 		}
-	case r.store && now-c.beat.granted >= bridgeTime:
-		// With the store in reach a keeper must be found; agreement is its task.
-		c.view.minor = max(c.view.minor, end)
+	case r.seesStore && now-c.heartbeat.lastGrant >= maxStandstillWithStore:
+		// The store is reachable, so a leader can be elected and must coordinate the
+		// members instead of the majority.
+		c.view.actingLease = max(c.view.actingLease, end)
 	default:
 		if !c.poll.standstill {
-			c.poll.standstill, c.poll.since, c.changed = true, now, true
+			c.poll.standstill, c.poll.standstillSince, c.changed = true, now, true
 			meter.Count("cell.standstill", 1)
 		}
-		c.view.still = max(c.view.still, end)
+		c.view.majorityLease = max(c.view.majorityLease, end)
 	}
 }
 
-// seedLocked asks one of the configured peers at a time, for daemons that start
-// while the store is down and for those that lost contact.
-func (c *Cell) seedLocked(now time.Duration) {
-	lost := c.view.m == nil || c.config.doc.Generation == 0 || now-c.contact.peer > contactTime
-	if !lost || len(c.cfg.seeds) == 0 || c.poll.seeding {
+// askSeedLocked asks the next of the configured peers for the configuration and the
+// membership. It serves daemons that start while the store is down and daemons that
+// have lost contact with all peers.
+func (c *Cell) askSeedLocked(now time.Duration) {
+	noContact := c.view.membership == nil || c.configuration.doc.Generation == 0 || now-c.contact.lastPeer > isolationTimeout
+	if !noContact || len(c.cfg.seeds) == 0 || c.poll.askingSeed {
 		return
 	}
-	c.poll.seeding = true
-	address := c.cfg.seeds[c.poll.seed%len(c.cfg.seeds)]
-	c.poll.seed++
+	c.poll.askingSeed = true
+	address := c.cfg.seeds[c.poll.nextSeed%len(c.cfg.seeds)]
+	c.poll.nextSeed++
 	in := c.syncRequestLocked()
-	c.later(func() {
-		c.sync(address, in)
+	c.queueTask(func() {
+		c.callSync(address, in)
 		c.mu.Lock()
-		c.poll.seeding = false
+		c.poll.askingSeed = false
 		c.unlock()
 	})
 }
 
 func (c *Cell) syncRequestLocked() *peerpb.SyncRequest {
-	in := &peerpb.SyncRequest{Generation: c.config.doc.Generation}
-	if c.view.m != nil {
-		in.Term, in.Epoch = c.view.m.term, c.view.m.epoch
+	in := &peerpb.SyncRequest{Generation: c.configuration.doc.Generation}
+	if c.view.membership != nil {
+		in.Term, in.Epoch = c.view.membership.term, c.view.membership.epoch
 	}
 	return in
 }
--- a/cell/random_test.go
+++ b/cell/random_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Guards against two full homes of one group and against a cell that does not
-// recover. Everything fails at once: members are cut, paused, killed and
-// restarted, messages and store replies are lost or late, the store is down,
-// operators change the configuration. MEDLARYARD_SEEDS=n runs n seeds instead
-// of the fixed ones, MEDLARYARD_SEED=n only that one.
+// Guards against two full homes of one group and against a cell that does not recover
+// from combined faults: members are partitioned, paused, killed and restarted, messages
+// and store replies are lost or late, the store is down, and operators change the
+// configuration. MEDLARYARD_SEEDS=n runs n seeds instead of the fixed ones,
+// MEDLARYARD_SEED=n only that one.
 func TestRandomRun(t *testing.T) {
 	first, count := uint64(1), 8
 	if n, err := strconv.Atoi(os.Getenv("MEDLARYARD_SEEDS")); err == nil {
@@ -21,7 +21,7 @@
 	if n, err := strconv.ParseUint(os.Getenv("MEDLARYARD_SEED"), 10, 64); err == nil {
 		first, count = n, 1
 	}
-	seeds := []uint64{2348} // The founder of the cell was cut off at epoch 1.
+	seeds := []uint64{2348} // The first member of the cell is partitioned at epoch 1.
 	for i := range count {
 		seeds = append(seeds, first+uint64(i))
 	}
@@ -35,40 +35,41 @@
 
 func randomRun(t *testing.T, seed uint64) {
 	f := newFleet(t, seed, 3+int(seed%7))
-	f.loss, f.st.loss = 0.03, 0.05
-	f.start(nil, time.Second, f.disturb)
-	f.run(2*time.Minute, f.check)
-	f.heal()
-	f.loss, f.st.loss = 0, 0
-	f.run(time.Minute, f.check)
-	if err := f.whole(); err != nil {
-		f.dump("s/0/0")
+	f.lossRate, f.st.lossRate = 0.03, 0.05
+	f.start(nil, time.Second, f.injectFaults)
+	f.run(2*time.Minute, f.checkShares)
+	f.repairAll()
+	f.lossRate, f.st.lossRate = 0, 0
+	f.run(time.Minute, f.checkShares)
+	if err := f.checkConverged(); err != nil {
+		f.logGroup("s/0/0")
 		t.Fatal(err)
 	}
 }
 
-func (f *fleet) heal() {
+// repairAll ends all faults and restarts the nodes that are dead or leaving.
+func (f *fleet) repairAll() {
 	clear(f.cut)
 	f.st.down = false
 	for _, n := range f.nodes {
 		n.storeCut, n.pausedUntil = false, 0
 		n.dead = n.dead || n.cell.leaving
 		if n.dead {
-			f.boot(n.pos)
+			f.startNode(n.index)
 		}
 	}
 }
 
-// disturb injects one fault or repair after another for the first two minutes.
-func (f *fleet) disturb() {
+// injectFaults injects random faults and repairs for the first two minutes.
+func (f *fleet) injectFaults() {
 	end := f.clk.Boot() + 2*time.Minute - time.Second
 	for f.clk.Boot() < end {
 		n := f.nodes[f.rng.IntN(len(f.nodes))]
 		switch f.rng.IntN(13) {
 		case 0:
-			f.split(f.rng.IntN(len(f.nodes)))
+			f.partition(f.rng.IntN(len(f.nodes)))
 		case 1:
-			f.cut[pair(n.pos, f.rng.IntN(len(f.nodes)))] = true
+			f.cut[nodePair(n.index, f.rng.IntN(len(f.nodes)))] = true
 		case 2, 3:
 			clear(f.cut)
 		case 4:
@@ -78,35 +79,35 @@
 		case 6:
 			n.storeCut = !n.storeCut
 		case 7:
-			n.pausedUntil = f.clk.Boot() + f.between(100*time.Millisecond, 9*time.Second)
+			n.pausedUntil = f.clk.Boot() + f.randomDuration(100*time.Millisecond, 9*time.Second)
 		case 8:
-			f.kill(n.pos)
+			f.kill(n.index)
 			if f.rng.IntN(2) == 0 {
-				f.sleep(nil, f.between(0, time.Second))
+				f.sleep(nil, f.randomDuration(0, time.Second))
 				f.listed[n.cell.self.Name()] = false
 			}
 		case 9, 10:
 			if n.dead {
-				f.boot(n.pos)
+				f.startNode(n.index)
 			}
 		case 11:
 			n.cell.leaving = true
-			if n.cell.left() {
-				f.kill(n.pos)
+			if n.cell.tryLeave() {
+				f.kill(n.index)
 			}
 		case 12:
 			out := fmt.Sprintf("d%d", f.rng.IntN(domains+2))
-			f.st.apply(catalogueText(f.st.generation+1, out, f.rng.IntN(3)))
+			f.st.applyConfiguration(catalogueText(f.st.generation+1, out, f.rng.IntN(3)))
 		}
-		f.sleep(nil, f.between(50*time.Millisecond, 3*time.Second))
+		f.sleep(nil, f.randomDuration(50*time.Millisecond, 3*time.Second))
 	}
 }
 
-// split cuts the members into those before and from pos.
-func (f *fleet) split(pos int) {
-	for a := range pos {
-		for b := pos; b < len(f.nodes); b++ {
-			f.cut[pair(a, b)] = true
+// partition separates the nodes before index from the others.
+func (f *fleet) partition(index int) {
+	for a := range index {
+		for b := index; b < len(f.nodes); b++ {
+			f.cut[nodePair(a, b)] = true
 		}
 	}
 }
--- a/cell/rules_test.go
+++ b/cell/rules_test.go
@@ -11,38 +11,41 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// The tests of this file guard rules whose violation needs several rare events
-// at once, which the random run seldom meets.
+// The tests in this file check rules that are violated only when several rare events
+// coincide, which TestRandomRun seldom produces.
 
-// leased returns members[1] at a settled epoch with a lease, and its clock.
-func leased(members []Member) (*Cell, *clocktest.Manual) {
+// newLeasedCell returns the Cell of members[1] in a settled epoch with a lease, and its
+// clock.
+func newLeasedCell(members []Member) (*Cell, *clocktest.Manual) {
 	clk := clocktest.New()
 	c := New(members[1], WithClock(clk), WithName("c"), withSpawn(func(func()) {}))
-	c.config.inputs = []*inputs{{groups: []groupInput{{id: "g"}}, inService: map[string]bool{"domain-1": true}, digest: 5}}
-	c.adoptLocked(clk.Boot(), nextOf(members, 1, 1))
+	c.configuration.inputs = []*inputs{{groups: []groupInput{{id: "g"}}, inService: map[string]bool{"domain-1": true}, digest: 5}}
+	c.adoptLocked(clk.Boot(), testMembership(members, 1, 1))
 	c.view.settled = true
-	c.view.lease = clk.Boot() + leaseTime
+	c.view.grantedLease = clk.Boot() + leaseDuration
 	return c, clk
 }
 
-func nextOf(members []Member, term, epoch uint64) *membership {
+// testMembership returns an epoch whose predecessor was settled, with leader and base
+// members[0].
+func testMembership(members []Member, term, epoch uint64) *membership {
 	return &membership{
 		cell: "c", term: term, epoch: epoch, baseEpoch: epoch - 1, digest: 5,
-		keeper: members[0], members: members, previous: members, base: members[:1],
+		leader: members[0], members: members, previous: members, base: members[:1],
 	}
 }
 
-// Guards against a daemon that wakes from a pause and sends with the shares of
-// before on the lease that it gets for a later epoch.
+// Guards against a daemon that uses its old shares after a pause, under the lease that
+// it gets for a later epoch.
 func TestLeaseWaitsForShares(t *testing.T) {
-	c, clk := leased(benchMembers(4))
+	c, clk := newLeasedCell(testMembers(4))
 	c.ConfirmShares(c.ShareKey())
 	if c.LeaseEnd() <= clk.Boot() {
 		t.Error("no lease with applied shares")
 	}
 	clk.Advance(time.Minute)
-	c.adoptLocked(clk.Boot(), nextOf(c.view.m.members, 1, 2))
-	c.view.lease = clk.Boot() + leaseTime
+	c.adoptLocked(clk.Boot(), testMembership(c.view.membership.members, 1, 2))
+	c.view.grantedLease = clk.Boot() + leaseDuration
 	if c.LeaseEnd() > clk.Boot() {
 		t.Error("lease holds before the new shares are applied")
 	}
@@ -52,128 +55,127 @@
 	}
 }
 
-// Guards against a home that stays shut: it was told to stop and its group came
-// back before the daemon applied shares without the group.
-func TestGroupThatComesBack(t *testing.T) {
-	c, clk := leased(benchMembers(4))
+// Guards against a home that stays closed: it is stopping when its group is assigned
+// again, before the daemon has applied shares without the group.
+func TestReturnedGroupIsWithheldUntilHomeStops(t *testing.T) {
+	c, clk := newLeasedCell(testMembers(4))
 	var stop []func()
 	c.cfg.spawn = func(f func()) { stop = append(stop, f) }
 	g := catalogue.NewGroup(catalogue.GroupSpec{ID: "g"})
 	c.ConfirmShares(c.ShareKey())
 	adopt := func(epoch uint64, members []Member) {
 		c.mu.Lock()
-		c.adoptLocked(clk.Boot(), nextOf(members, 1, epoch))
+		c.adoptLocked(clk.Boot(), testMembership(members, 1, epoch))
 		c.view.settled = true
 		c.unlock()
 	}
-	members := c.view.m.members
+	members := c.view.membership.members
 	adopt(2, []Member{members[0], members[1].withLeaving(true)})
 	adopt(3, members)
 	c.ConfirmShares(c.ShareKey())
 	if c.Share(g) != lease.None {
-		t.Error("group is given back before its home has stopped")
+		t.Error("share returned before the home of the group has stopped")
 	}
 	for _, f := range stop {
 		f()
 	}
 	if c.Share(g) != lease.None {
-		t.Error("group is given back before shares without it are applied")
+		t.Error("share returned before shares without the group are applied")
 	}
 	c.ConfirmShares(c.ShareKey())
 	if c.Share(g) != lease.Full {
-		t.Errorf("share %v after that", c.Share(g))
+		t.Errorf("share %v after shares without the group are applied; want full", c.Share(g))
 	}
 }
 
-// Guards against a full share that is carried into a later epoch after its
-// lease has ended, when another home may have had the group between.
+// Guards against a full share that is kept for a later epoch after its lease has
+// expired, when another member may have been home in between.
 func TestFullShareEndsWithLease(t *testing.T) {
-	c, clk := leased(benchMembers(4))
-	if !c.view.full("g") {
+	c, clk := newLeasedCell(testMembers(4))
+	if !c.view.hasFullShare("g") {
 		t.Fatal("no full share at a settled epoch")
 	}
-	c.adoptLocked(clk.Boot(), nextOf(c.view.m.members, 1, 2))
-	if !c.view.full("g") {
+	c.adoptLocked(clk.Boot(), testMembership(c.view.membership.members, 1, 2))
+	if !c.view.hasFullShare("g") {
 		t.Error("full share lost while the lease holds")
 	}
-	clk.Advance(leaseTime)
-	c.adoptLocked(clk.Boot(), nextOf(c.view.m.members, 1, 3))
-	if c.view.full("g") {
+	clk.Advance(leaseDuration)
+	c.adoptLocked(clk.Boot(), testMembership(c.view.membership.members, 1, 3))
+	if c.view.hasFullShare("g") {
 		t.Error("full share kept after the lease ended")
 	}
 }
 
-// Guards against a lease from a majority of an epoch's members while the base
-// of that epoch, which may settle the next one, is not asked.
+// Guards against a lease from a majority of an epoch's members without a majority of
+// the epoch's base, which may settle the next epoch.
 func TestMajorityOfBase(t *testing.T) {
-	c, clk := leased(benchMembers(4))
-	r := &round{sent: clk.Boot(), self: c.self.Incarnation(), m: c.view.m, same: make(map[string]bool)}
-	for _, m := range c.view.m.members[1:] {
-		r.same[m.Incarnation()] = true
+	c, clk := newLeasedCell(testMembers(4))
+	r := &pollRound{sent: clk.Boot(), selfIncarnation: c.self.Incarnation(), membership: c.view.membership, agreeing: make(map[string]bool)}
+	for _, m := range c.view.membership.members[1:] {
+		r.agreeing[m.Incarnation()] = true
 	}
-	c.countLocked(clk.Boot(), r)
-	if c.view.still != 0 {
+	c.extendMajorityLeaseLocked(clk.Boot(), r)
+	if c.view.majorityLease != 0 {
 		t.Error("lease without the base")
 	}
-	c.view.recorded = true
-	c.countLocked(clk.Boot(), r)
-	if c.view.still != r.sent+standstillTime {
+	c.view.settledStored = true
+	c.extendMajorityLeaseLocked(clk.Boot(), r)
+	if c.view.majorityLease != r.sent+standstillLease {
 		t.Error("no lease although the epoch is recorded as settled")
 	}
 }
 
-// Guards against a keeper that settles an epoch while another may have taken
-// over, and against a successor that does not wait for the leases of the one
-// that yielded.
-func TestYieldingKeeper(t *testing.T) {
-	members := benchMembers(4)
-	c := benchKeeper(members)
-	k, now := c.keeper, c.cfg.clk.Boot()
-	k.settled, k.cur = false, nextOf(members, 1, 3)
+// Guards against a leader that settles an epoch while another may have taken over, and
+// against a successor that does not wait for the leases of a yielding leader to expire.
+func TestYieldingLeader(t *testing.T) {
+	members := testMembers(4)
+	c := newTestLeader(members)
+	l, now := c.leader, c.cfg.clk.Boot()
+	l.settled, l.current = false, testMembership(members, 1, 3)
 	for _, m := range members {
-		k.heard[m.Incarnation()] = &hearing{at: now, epoch: 3}
+		l.heartbeats[m.Incarnation()] = &heartbeatRecord{lastGrant: now, releasedEpoch: 3}
 	}
-	k.yields = true
-	if k.settle(now, func(Member) bool { return false }) {
+	l.yields = true
+	if l.trySettle(now, func(Member) bool { return false }) {
 		t.Error("settled while yielding")
 	}
-	k.yields = false
-	if !k.settle(now, func(Member) bool { return false }) {
+	l.yields = false
+	if !l.trySettle(now, func(Member) bool { return false }) {
 		t.Error("not settled by acknowledgement of all")
 	}
 
 	f := newFleet(t, 1, 1)
-	f.want(5*time.Second, "start", f.whole)
+	f.waitUntil(5*time.Second, "start", f.checkConverged)
 	n := f.nodes[0]
 	f.start(n, 0, func() {
-		next := n.cell.successorLocked(nil, nil)
-		version := n.cell.keeper.version
-		n.cell.keeper = nil
+		next := n.cell.successorMembershipLocked(nil, nil)
+		version := n.cell.leader.version
+		n.cell.leader = nil
 		n.cell.takeOver(next, version, true)
-		k := n.cell.keeper
-		if k == nil || k.since < n.cell.cfg.clk.Boot()+storeLease-margin {
-			t.Error("successor does not wait for the leases of a keeper that yielded")
+		l := n.cell.leader
+		if l == nil || l.grantsKnownSince < n.cell.cfg.clk.Boot()+storeLeaseDuration-clockMargin {
+			t.Error("successor does not wait for the leases of a leader that yielded")
 		}
 	})
-	f.run(time.Second, f.check)
+	f.run(time.Second, f.checkShares)
 }
 
-// Guards against a grant after the write that gives up the keeper's lease.
-func TestLeavingKeeperGrantsNothing(t *testing.T) {
-	members := benchMembers(2)
-	c := benchKeeper(members)
+// Guards against a grant after the write that releases the leader's store lease.
+func TestLeavingLeaderGrantsNothing(t *testing.T) {
+	members := testMembers(2)
+	c := newTestLeader(members)
 	in := &peerpb.HeartbeatRequest{Member: members[1].wire(), Epoch: 2, KnownEpoch: 2}
 	if r, _ := c.HandleHeartbeat(context.Background(), in); !r.Accepted {
 		t.Fatal("not granted before")
 	}
 	c.leaving = true
-	c.beat.next = 0
+	c.heartbeat.next = 0
 	me := c.self.withLeaving(true)
-	c.keeper.cur = nextOf([]Member{me, members[1]}, 1, 3)
-	c.adoptLocked(c.cfg.clk.Boot(), c.keeper.cur)
+	c.leader.current = testMembership([]Member{me, members[1]}, 1, 3)
+	c.adoptLocked(c.cfg.clk.Boot(), c.leader.current)
 	c.view.settled = true
-	c.view.lease = c.cfg.clk.Boot() + leaseTime
-	c.left()
+	c.view.grantedLease = c.cfg.clk.Boot() + leaseDuration
+	c.tryLeave()
 	if r, _ := c.HandleHeartbeat(context.Background(), in); r.Accepted {
 		t.Error("granted after giving up the lease")
 	}
--- a/cell/status.go
+++ b/cell/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Status is what operators read about the cell on this daemon.
+// Status is the state of this daemon in the cell, as shown to operators.
 type Status struct {
 	Cell              string        `json:"cell"`
 	Name              string        `json:"name"`
@@ -13,12 +13,12 @@
 	Epoch             uint64        `json:"epoch"`
 	Settled           bool          `json:"settled"`
 	Members           int           `json:"members"`
-	HighestGeneration uint64        `json:"asked_generation"`    // Highest generation seen anywhere.
+	HighestGeneration uint64        `json:"asked_generation"`    // Highest generation that this daemon has seen.
 	InForce           uint64        `json:"in_force_generation"` // Generation that this daemon uses.
 	InForceSince      time.Time     `json:"in_force_since"`
 	Author            string        `json:"author"`
 	Applied           time.Time     `json:"applied,omitzero"`  // When the author applied it.
-	Refused           string        `json:"refused,omitempty"` // Why the asked generation is not in force.
+	Refused           string        `json:"refused,omitempty"` // Why the last rejected configuration is not in force.
 	Isolated          bool          `json:"isolated"`
 	Standstill        bool          `json:"standstill"`
 	StoreReachable    bool          `json:"store_reachable"`
@@ -35,21 +35,21 @@
 		Cell:              c.cfg.cell,
 		Name:              c.self.Name(),
 		Incarnation:       c.self.Incarnation(),
-		IsLeader:          c.keeper != nil,
-		HighestGeneration: c.config.highest,
-		InForce:           c.config.doc.Generation,
-		InForceSince:      c.config.since,
-		Author:            c.config.doc.Author,
-		Applied:           c.config.doc.Time,
-		Refused:           c.config.refused,
+		IsLeader:          c.leader != nil,
+		HighestGeneration: c.configuration.highestGeneration,
+		InForce:           c.configuration.doc.Generation,
+		InForceSince:      c.configuration.inForceSince,
+		Author:            c.configuration.doc.Author,
+		Applied:           c.configuration.doc.Time,
+		Refused:           c.configuration.refusalReason,
 		Isolated:          c.contact.isolated(now),
 		Standstill:        c.poll.standstill,
 		StoreReachable:    c.contact.storeOK,
-		LeaseLeft:         max(0, c.view.live()-now),
+		LeaseLeft:         max(0, c.view.leaseEnd()-now),
 		Leaving:           c.leaving,
 	}
-	if m := c.view.m; m != nil {
-		s.Leader, s.Term, s.Epoch = m.keeper.Name(), m.term, m.epoch
+	if m := c.view.membership; m != nil {
+		s.Leader, s.Term, s.Epoch = m.leader.Name(), m.term, m.epoch
 		s.Settled, s.Members = c.view.settled, len(m.members)
 	}
 	return s
--- a/cell/tcp_test.go
+++ b/cell/tcp_test.go
@@ -16,9 +16,10 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// Guards against parts that work only with the fakes: three cells on the system
-// clock and real connections agree, one leaves, and all close with their tasks.
-func TestOverConnections(t *testing.T) {
+// Guards against code that works only with the simulation: three cells on the system
+// clock and real connections agree, the leader leaves, and all stop their tasks when
+// closed.
+func TestCellOverTCP(t *testing.T) {
 	st := objects.New()
 	value, err := catalogueText(1, "", 0).Encode()
 	if err != nil {
@@ -53,25 +54,25 @@
 		cells = append(cells, c)
 	}
 	waitFor(ctx, t, cells, 3)
-	var keeper int
+	var leader int
 	for i, c := range cells {
 		if c.Status().IsLeader {
-			keeper = i
+			leader = i
 		}
 	}
-	if err := cells[keeper].Leave(ctx); err != nil {
+	if err := cells[leader].Leave(ctx); err != nil {
 		t.Fatal(err)
 	}
-	cells[keeper].Close()
-	rest := append(append([]*Cell(nil), cells[:keeper]...), cells[keeper+1:]...)
-	waitFor(ctx, t, rest, 2)
-	for _, c := range rest {
+	cells[leader].Close()
+	remaining := append(append([]*Cell(nil), cells[:leader]...), cells[leader+1:]...)
+	waitFor(ctx, t, remaining, 2)
+	for _, c := range remaining {
 		c.Close()
 	}
 	cancel()
 }
 
-// waitFor waits until cells agree on members and each group has one full home.
+// waitFor waits until agree returns true and fails when ctx ends.
 func waitFor(ctx context.Context, t *testing.T, cells []*Cell, members int) {
 	t.Helper()
 	for !agree(cells, members) {
@@ -84,6 +85,8 @@
 	}
 }
 
+// agree reports whether all cells have generation 1 and that number of members that
+// are not leaving, and each group has one full home.
 func agree(cells []*Cell, members int) bool {
 	for _, c := range cells {
 		live := 0
--- a/cell/watch.go
+++ b/cell/watch.go
@@ -11,48 +11,54 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// watch is how this daemon learns of configurations from the store.
+// watch is the state of the watch and of the direct reads of the configuration in the
+// store.
 type watch struct {
-	next    time.Duration // Of the next watch after a failed one.
-	pause   time.Duration // After the next failure.
-	running bool
-	version uint64 // Of the object last seen.
-	check   time.Duration
-	reading bool
+	nextWatch  time.Duration // Earliest start of the next watch.
+	retryDelay time.Duration // Delay after the last failure; 0 after a success.
+	running    bool
+	version    uint64        // Version of the object last seen.
+	nextCheck  time.Duration // When the next direct read is due.
+	reading    bool
 }
 
-func (c *Cell) configLocked(now time.Duration) {
+// watchConfigurationLocked starts a direct read and a watch if they are due.
+func (c *Cell) watchConfigurationLocked(now time.Duration) {
 	w := &c.watch
-	if now >= w.check && !w.reading {
+	if now >= w.nextCheck && !w.reading {
 		w.reading = true
-		w.check = now + c.checkAfterLocked(now)
-		c.later(c.read)
+		w.nextCheck = now + c.checkDelayLocked(now)
+		c.queueTask(c.readConfiguration)
 	}
-	if now >= w.next && !w.running && c.watcherLocked() {
+	if now >= w.nextWatch && !w.running && c.isWatcherLocked() {
 		w.running = true
 		seen := w.version
-		c.later(func() { c.watchOnce(seen) })
+		c.queueTask(func() { c.watchOnce(seen) })
 	}
 }
 
-// checkAfterLocked spreads the direct reads of the daemons over the interval.
-func (c *Cell) checkAfterLocked(now time.Duration) time.Duration {
+// checkDelayLocked returns the delay until the next direct read. It is shortened by up
+// to an eighth, depending on the name, so that the daemons read at different times. A
+// daemon without a configuration or a leader does not rely on the watchers and reads
+// every earlyCheckInterval.
+func (c *Cell) checkDelayLocked(now time.Duration) time.Duration {
 	interval := checkInterval
-	if c.config.doc.Generation == 0 || c.beat.unheard(now) {
+	if c.configuration.doc.Generation == 0 || c.heartbeat.grantOverdue(now) {
 		interval = earlyCheckInterval
 	}
 	return interval - time.Duration(score("check", c.self.Name())%uint64(interval/8))
 }
 
-// watcherLocked reports whether this daemon watches the configuration for its
-// failure domain. A daemon without a keeper does not count on others to watch.
-func (c *Cell) watcherLocked() bool {
-	if c.view.m == nil {
+// isWatcherLocked reports whether this daemon watches the configuration for its
+// failure domain. Without a membership it does not.
+func (c *Cell) isWatcherLocked() bool {
+	if c.view.membership == nil {
 		return false
 	}
-	return rankOf(watchers(c.view.m.members, c.self.Domain()), c.self.Name()) >= 0
+	return rankOf(watchers(c.view.membership.members, c.self.Domain()), c.self.Name()) >= 0
 }
 
+// watchers returns the members of a failure domain that watch the configuration.
 func watchers(members []Member, domain string) []Member {
 	var list []Member
 	for _, m := range members {
@@ -66,10 +72,10 @@
 	return list[:min(len(list), watchersPerDomain)]
 }
 
-func (c *Cell) read() {
+func (c *Cell) readConfiguration() {
 	obj, err := c.get(CatalogueKey)
 	if err == nil {
-		c.loaded(obj)
+		c.installObject(obj)
 	}
 	c.mu.Lock()
 	c.watch.reading = false
@@ -77,38 +83,38 @@
 }
 
 func (c *Cell) watchOnce(seen uint64) {
-	ctx, cancel := c.within(watchTime)
+	ctx, cancel := c.withTimeout(watchTimeout)
 	defer cancel()
 	meter.Count("cell.store.watch", 1)
-	obj, err := c.cfg.st.Watch(ctx, CatalogueKey, seen)
+	obj, err := c.cfg.store.Watch(ctx, CatalogueKey, seen)
 	if err == nil {
-		c.answered(nil)
-		c.loaded(obj)
+		c.recordStoreResult(nil)
+		c.installObject(obj)
 	} else if errors.Is(err, store.ErrUnavailable) {
-		c.answered(err)
+		c.recordStoreResult(err)
 	}
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	c.watch.running = false
 	switch {
 	case err == nil, errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
-		c.watch.pause = 0
+		c.watch.retryDelay = 0
 	default:
-		c.watch.pause = min(max(watchRetry, 2*c.watch.pause), watchRetryMax)
-		c.watch.next = now + c.watch.pause
+		c.watch.retryDelay = min(max(watchRetry, 2*c.watch.retryDelay), watchRetryMax)
+		c.watch.nextWatch = now + c.watch.retryDelay
 	}
 	c.unlock()
 }
 
-// loaded takes a configuration object from the store.
-func (c *Cell) loaded(obj store.Object) {
+// installObject decodes and installs a configuration object from the store.
+func (c *Cell) installObject(obj store.Object) {
 	c.mu.Lock()
-	// An object that was deleted and created again may have a lower version.
+	// A deleted and recreated object may have a lower version.
 	c.watch.version = obj.Version()
 	c.unlock()
 	d, err := DecodeDocument(obj.Value())
 	if err != nil {
-		c.refuse(err, d.Generation)
+		c.refuseConfiguration(err, d.Generation)
 		return
 	}
 	c.install(d, c.self.Name())
--- a/cell/wire.go
+++ b/cell/wire.go
@@ -53,8 +53,8 @@
 		Cell:              m.cell,
 		Term:              m.term,
 		Epoch:             m.epoch,
-		Keeper:            m.keeper.Name(),
-		KeeperIncarnation: m.keeper.Incarnation(),
+		Keeper:            m.leader.Name(),
+		KeeperIncarnation: m.leader.Incarnation(),
 		Members:           wireMembers(m.members),
 		Previous:          wireMembers(m.previous),
 		Base:              wireMembers(m.base),
@@ -79,7 +79,7 @@
 		previous:   membersOf(w.GetPrevious()),
 		base:       membersOf(w.GetBase()),
 	}
-	m.keeper, _ = m.member(w.GetKeeperIncarnation())
+	m.leader, _ = m.member(w.GetKeeperIncarnation())
 	return m, m.check(cell)
 }
 
