--- a/lease/doc.go
+++ b/lease/doc.go
@@ -1,3 +1,3 @@
-// Package lease holds the terms on which a daemon may act as home of a replica
-// group.
+// Package lease defines the shares of a replica group's budgets that a daemon may use
+// as home of the group or as a stand-in for its home.
 package lease
--- a/lease/share.go
+++ b/lease/share.go
@@ -1,6 +1,6 @@
 package lease
 
-// Share is the part of a group's connection and cold-start budgets that a
+// Share is the part of a replica group's connection and cold-start budgets that a
 // daemon may use.
 type Share int
 
@@ -8,21 +8,21 @@
 const (
 	// None forbids new sends.
 	None Share = iota
-	// Acting stands in for an unreachable home: half of the reserved
-	// connections and nothing to a cold searcher.
+	// Acting is the share of a stand-in for an unreachable home: half of the
+	// reserved connections and no requests to cold searchers.
 	Acting
-	// Reserved holds until the previous home has stopped for certain: the
-	// reserved connections and nothing to a cold searcher.
+	// Reserved is the share of a new home until it is certain that the previous
+	// home has stopped: the reserved connections and no requests to cold searchers.
 	Reserved
-	// Full is the share of the established home: all but the reserved connections.
+	// Full is the share of an established home: all but the reserved connections.
 	Full
 )
 
-// ReservedFraction is the part of each connection cap that an established home
-// leaves unused, so that a new home can start before the old one has stopped.
+// ReservedFraction is the fraction of each connection cap that an established home
+// leaves unused, so that a new home can start before the previous one has stopped.
 const ReservedFraction = 0.2
 
-// String returns the share as it stands in status and logs.
+// String returns the name of the share as used in status and logs.
 func (s Share) String() string {
 	switch s {
 	case Acting:
