--- a/invariant/check.go
+++ b/invariant/check.go
@@ -13,12 +13,12 @@
 
 var fatal atomic.Bool
 
-// FatalInTests makes every violation panic. Test binaries call it in TestMain
-// or init, and randomised runs set it through the environment of the daemon.
+// FatalInTests makes every violation panic. Test binaries call it in TestMain or init.
+// Randomised runs enable it through the daemon's environment.
 func FatalInTests() { fatal.Store(true) }
 
-// Check reports a violation of the invariant when ok is false.
-// The format and args describe the state that broke it.
+// Check counts and logs a violation of the invariant if ok is false, or panics after
+// FatalInTests. format and args describe the violating state. Check returns ok.
 func Check(name Name, ok bool, format string, args ...any) bool {
 	if ok {
 		return true
--- a/invariant/doc.go
+++ b/invariant/doc.go
@@ -1,3 +1,3 @@
-// Package invariant checks at run time what must always hold. A violation is
-// counted and logged in production and ends the program in tests.
+// Package invariant checks invariants at run time. A violation is counted and logged in
+// production and panics in tests.
 package invariant
