--- a/cell/adopt.go
+++ b/cell/adopt.go
@@ -70,6 +70,8 @@
 	}
 }
 
+// adoptLocked makes m the current epoch. It stops the homes that this daemon lost and
+// drops its leases if it is no longer a member.
 func (c *Cell) adoptLocked(now time.Duration, m *membership) {
 	old := c.view.membership
 	if old != nil {
@@ -77,14 +79,14 @@
 			"term %d epoch %d after term %d epoch %d", m.term, m.epoch, old.term, old.epoch)
 	}
 	self := c.self.Name()
-	before := c.view.ownedGroups(self)
-	kept := c.view.fullGroups(now, self)
+	ownedBefore := c.view.ownedGroups(self)
+	fullBefore := c.view.fullGroups(now, self)
 	if now >= c.view.leaseEnd() {
 		c.view.shareVersion++
 	}
 	c.pending.membership = nil
 	c.view.membership, c.view.settled, c.view.settledStored = m, false, false
-	c.view.fullBefore, c.view.confirmed = kept, make(map[string]bool)
+	c.view.fullBefore, c.view.confirmed = fullBefore, make(map[string]bool)
 	c.handoff.planRequests(now, old, m, c.view.table)
 	c.view.table = nil
 	c.computeTableLocked()
@@ -92,7 +94,7 @@
 		c.view.grantedLease, c.view.majorityLease, c.view.actingLease, c.view.fullBefore = 0, 0, 0, nil
 		c.view.shareVersion++
 	}
-	c.stopHomesLocked(groupsWithout(before, c.view.ownedGroups(self)))
+	c.stopHomesLocked(groupsWithout(ownedBefore, c.view.ownedGroups(self)))
 	c.changed = true
 	meter.Gauge("cell.epoch", int64(m.epoch))
 	log.Info().Uint64("term", m.term).Uint64("epoch", m.epoch).Str("keeper", m.leader.Name()).
--- a/cell/cell.go
+++ b/cell/cell.go
@@ -11,7 +11,7 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// Cell is this daemon's membership in its cell. mu guards all state. Calls to the
+// Cell is the state of this daemon in its cell. mu guards all state. Calls to the
 // store and to peers run in tasks that hold mu only to apply their results, so a
 // call that never returns blocks nothing else.
 type Cell struct {
--- a/cell/elect.go
+++ b/cell/elect.go
@@ -24,6 +24,8 @@
 	versionSince time.Duration // When that version was first seen.
 }
 
+// electLocked starts a read of the cell object if no leader grants leases and the next
+// read is due.
 func (c *Cell) electLocked(now time.Duration) {
 	x := &c.election
 	if c.leader != nil || c.leaving || x.running {
--- a/cell/fleet_test.go
+++ b/cell/fleet_test.go
@@ -212,7 +212,7 @@
 		if v.membership == nil {
 			continue
 		}
-		f.t.Logf("vm%d dead=%v share=%v may=%v term=%d epoch=%d base=%d settled=%v fullBefore=%v confirmed=%v leader=%v", n.index, n.dead,
+		f.t.Logf("vm%d dead=%v share=%v applied=%v term=%d epoch=%d base=%d settled=%v fullBefore=%v confirmed=%v leader=%v", n.index, n.dead,
 			n.share(id, n.cell.cfg.clk.Boot()), n.appliedShare(id, n.cell.cfg.clk.Boot()), v.membership.term, v.membership.epoch, v.membership.baseEpoch, v.settled, v.fullBefore[id], v.confirmed[id], n.cell.leader != nil)
 		f.t.Logf("  grantedLease %v majorityLease %v lastDeadline %v draining %v releasedEpoch %d", v.grantedLease-n.cell.cfg.clk.Boot(), v.majorityLease-n.cell.cfg.clk.Boot(), n.lastDeadline-n.cell.cfg.clk.Boot(), n.draining[id], v.releasedEpoch)
 	}
--- a/cell/handoff.go
+++ b/cell/handoff.go
@@ -18,24 +18,24 @@
 // daemon gave up, and the previous homes that it asks to confirm that they stopped.
 type handoff struct {
 	estimates     map[string]*peerpb.ReleasedGroup // Estimates of homes that this daemon gave up, by group.
-	epoch         uint64
+	epoch         uint64                           // Epoch for which releases are requested.
 	previousHomes []*previousHome
 }
 
 // previousHome is a member that was home of groups in the epoch before.
 type previousHome struct {
 	member      Member
-	groups      []string
+	groups      []string // IDs of the groups that it was home of.
 	nextRequest time.Duration
-	running     bool
-	done        bool
+	running     bool // A Release call is in flight.
+	done        bool // No confirmation is missing.
 }
 
 // planRequests lists the previous home of each group of t, the table of the epoch
 // old. A previous home alone can confirm that no earlier home remains only if old is
 // the last settled epoch and m follows it directly. Otherwise the list is empty.
-func (r *handoff) planRequests(now time.Duration, old, m *membership, t *homeTable) {
-	r.epoch, r.previousHomes = m.epoch, nil
+func (h *handoff) planRequests(now time.Duration, old, m *membership, t *homeTable) {
+	h.epoch, h.previousHomes = m.epoch, nil
 	if old == nil || t == nil || old.epoch+1 != m.epoch || !m.followsSettled() {
 		return
 	}
@@ -45,13 +45,13 @@
 		if len(o) == 0 {
 			continue
 		}
-		a := byHome[o[0].Name()]
-		if a == nil {
-			a = &previousHome{member: o[0], nextRequest: now}
-			byHome[o[0].Name()] = a
-			r.previousHomes = append(r.previousHomes, a)
+		p := byHome[o[0].Name()]
+		if p == nil {
+			p = &previousHome{member: o[0], nextRequest: now}
+			byHome[o[0].Name()] = p
+			h.previousHomes = append(h.previousHomes, p)
 		}
-		a.groups = append(a.groups, g.id)
+		p.groups = append(p.groups, g.id)
 	}
 }
 
@@ -96,37 +96,39 @@
 // requestReleasesLocked asks previous homes to confirm the release of the groups that
 // this daemon is home of now, until the epoch is settled.
 func (c *Cell) requestReleasesLocked(now time.Duration) {
-	r, v := &c.handoff, &c.view
-	if v.membership == nil || v.table == nil || v.settled || r.epoch != v.membership.epoch || now >= v.leaseEnd() {
+	h, v := &c.handoff, &c.view
+	if v.membership == nil || v.table == nil || v.settled || h.epoch != v.membership.epoch || now >= v.leaseEnd() {
 		return
 	}
-	for _, a := range r.previousHomes {
-		if a.done || a.running || now < a.nextRequest || a.member.Name() == c.self.Name() {
+	for _, p := range h.previousHomes {
+		if p.done || p.running || now < p.nextRequest || p.member.Name() == c.self.Name() {
 			continue
 		}
-		groups := slices.DeleteFunc(slices.Clone(a.groups), func(id string) bool {
+		groups := slices.DeleteFunc(slices.Clone(p.groups), func(id string) bool {
 			o := v.table.preferenceLists[id]
 			return len(o) == 0 || o[0].Name() != c.self.Name() || v.confirmed[id]
 		})
 		if len(groups) == 0 {
-			a.done = true
+			p.done = true
 			continue
 		}
-		a.running = true
-		c.requestReleaseLocked(a, v.membership.epoch, groups)
+		p.running = true
+		c.requestReleaseLocked(p, v.membership.epoch, groups)
 	}
 }
 
-func (c *Cell) requestReleaseLocked(a *previousHome, epoch uint64, groups []string) {
+// requestReleaseLocked makes one Release call to p and imports the estimates that it
+// returns.
+func (c *Cell) requestReleaseLocked(p *previousHome, epoch uint64, groups []string) {
 	c.queueTask(func() {
 		ctx, cancel := c.withTimeout(peerTimeout)
 		defer cancel()
-		reply, err := c.cfg.calls.Release(ctx, a.member.PeerAddress(), &peerpb.ReleaseRequest{
-			Member: a.member.Name(), Incarnation: a.member.Incarnation(), Epoch: epoch, Groups: groups,
+		reply, err := c.cfg.calls.Release(ctx, p.member.PeerAddress(), &peerpb.ReleaseRequest{
+			Member: p.member.Name(), Incarnation: p.member.Incarnation(), Epoch: epoch, Groups: groups,
 		})
 		now := c.cfg.clk.Boot()
 		c.mu.Lock()
-		a.running, a.nextRequest = false, now+releaseRetry
+		p.running, p.nextRequest = false, now+releaseRetry
 		var confirmed []*peerpb.ReleasedGroup
 		if err == nil {
 			c.contact.lastPeer = now
@@ -141,13 +143,13 @@
 
 // applyConfirmationsLocked marks the requested groups that a previous home confirmed,
 // if epoch is still the current one, and returns them.
-func (c *Cell) applyConfirmationsLocked(epoch uint64, asked []string, confirmed []*peerpb.ReleasedGroup) []*peerpb.ReleasedGroup {
+func (c *Cell) applyConfirmationsLocked(epoch uint64, requested []string, confirmed []*peerpb.ReleasedGroup) []*peerpb.ReleasedGroup {
 	if c.view.membership.epoch != epoch {
 		return nil
 	}
 	var out []*peerpb.ReleasedGroup
 	for _, g := range confirmed {
-		if slices.Contains(asked, g.GetGroup()) {
+		if slices.Contains(requested, g.GetGroup()) {
 			c.view.confirmed[g.GetGroup()] = true
 			out = append(out, g)
 		}
--- a/cell/heartbeat.go
+++ b/cell/heartbeat.go
@@ -17,10 +17,12 @@
 }
 
 // grantOverdue reports whether no leader has granted a lease for grantTimeout.
-func (b *heartbeat) grantOverdue(now time.Duration) bool {
-	return b.lastGrant == 0 || now-b.lastGrant >= grantTimeout
+func (h *heartbeat) grantOverdue(now time.Duration) bool {
+	return h.lastGrant == 0 || now-h.lastGrant >= grantTimeout
 }
 
+// sendHeartbeatLocked sends a heartbeat to the leader if one is due. The leader handles
+// its own heartbeat locally.
 func (c *Cell) sendHeartbeatLocked(now time.Duration) {
 	if now < c.heartbeat.next || c.view.membership == nil {
 		return
@@ -55,6 +57,7 @@
 	})
 }
 
+// heartbeatRequestLocked returns the next heartbeat of this daemon.
 func (c *Cell) heartbeatRequestLocked(now time.Duration) *peerpb.HeartbeatRequest {
 	me := c.self.withLeaving(c.leaving).wire()
 	if _, ok := c.view.membership.member(c.self.Incarnation()); ok {
--- a/cell/invalidinput_test.go
+++ b/cell/invalidinput_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// Guards against depending on watches that went silent: the direct reads must return
-// the configuration within checkInterval.
+// Guards against a configuration that never arrives because the watches are silent: a
+// direct read must return it within about a minute.
 func TestSilentWatches(t *testing.T) {
 	t.Parallel()
 	f := newRunningFleet(t, 5)
@@ -141,13 +141,13 @@
 	f.run(10*time.Second, f.checkShares)
 	f.st.gets, f.st.puts, f.st.watches = 0, 0, 0
 	f.run(2*time.Minute, f.checkShares)
-	if most := int(2 * time.Minute / renewInterval); f.st.puts > most {
-		t.Errorf("%d writes, at most %d", f.st.puts, most)
+	if maxWrites := int(2 * time.Minute / renewInterval); f.st.puts > maxWrites {
+		t.Errorf("%d writes, at most %d", f.st.puts, maxWrites)
 	}
 	if f.st.gets > 3*9 {
 		t.Errorf("%d reads, at most 3 for each member", f.st.gets)
 	}
-	if most := watchersPerDomain * domains; f.st.waitingWatches > most || f.st.watches > 5*most {
-		t.Errorf("%d waiting watches and %d made, at most %d and %d", f.st.waitingWatches, f.st.watches, most, 5*most)
+	if maxWatches := watchersPerDomain * domains; f.st.waitingWatches > maxWatches || f.st.watches > 5*maxWatches {
+		t.Errorf("%d waiting watches and %d made, at most %d and %d", f.st.waitingWatches, f.st.watches, maxWatches, 5*maxWatches)
 	}
 }
--- a/cell/poll.go
+++ b/cell/poll.go
@@ -28,6 +28,7 @@
 	seesStore       bool            // This daemon or one of agreeing sees the store.
 }
 
+// pollLocked starts the next round if no leader grants leases and the round is due.
 func (c *Cell) pollLocked(now time.Duration) {
 	if !c.heartbeat.grantOverdue(now) {
 		c.poll.standstill, c.poll.lastRound, c.poll.currentRound = false, nil, nil
--- a/cell/rules_test.go
+++ b/cell/rules_test.go
@@ -177,6 +177,6 @@
 	c.view.grantedLease = c.cfg.clk.Boot() + leaseDuration
 	c.tryLeave()
 	if r, _ := c.HandleHeartbeat(context.Background(), in); r.Accepted {
-		t.Error("granted after giving up the lease")
+		t.Error("granted after releasing the store lease")
 	}
 }
