--- a/entry/address.go
+++ b/entry/address.go
@@ -1,6 +1,6 @@
 package entry
 
-// Address is one entry that callers may connect to.
+// Address describes one entry that callers may connect to.
 type Address struct {
 	address     string
 	incarnation string
@@ -13,11 +13,11 @@
 	return Address{address: address, incarnation: incarnation, domain: domain}
 }
 
-// Address is the IP address and port.
+// Address returns the IP address and port.
 func (a Address) Address() string { return a.address }
 
-// Incarnation identifies the process that listens there.
+// Incarnation returns the incarnation of the daemon that listens there.
 func (a Address) Incarnation() string { return a.incarnation }
 
-// Domain names the failure domain of the daemon.
+// Domain returns the name of the daemon's failure domain.
 func (a Address) Domain() string { return a.domain }
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -5,31 +5,31 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// Answer is the merged answer to a Query. All of it is from one snapshot.
+// Answer is the merged answer to a Query. All hits are from one snapshot.
 type Answer struct {
 	id        string
-	target    target
+	version   indexVersion
 	documents uint64
-	hits      []merged
-	missing   []missing
+	hits      []shardHit
+	missing   []missingShard
 }
 
-// merged is a hit with the shard that it came from.
-type merged struct {
+// shardHit is a hit with the shard that it came from.
+type shardHit struct {
 	shard.Hit
 	shard string
 }
 
-// missing is a shard that the answer does not cover.
-type missing struct {
+// missingShard is a shard that the answer does not cover.
+type missingShard struct {
 	shard  string
 	reason refusal.Kind
 }
 
-// fraction is the covered part of the snapshot's documents.
+// fraction returns the covered fraction of the snapshot's documents, from 0 to 1.
 func (a *Answer) fraction() float64 {
-	if a.target.total == 0 {
+	if a.version.total == 0 {
 		return 0
 	}
-	return float64(a.documents) / float64(a.target.total)
+	return float64(a.documents) / float64(a.version.total)
 }
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -15,14 +15,14 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// attempt sends one non-idempotent request to a home. It goes to another daemon
-// only after proof that the earlier one did not and will not run it.
+// attempt executes one non-idempotent request at a home. It tries another daemon
+// only after proof that the previous one did not run the request and never will.
 type attempt struct {
-	e        *Entry
-	r        Run
-	request  shard.RequestSpec
-	deadline time.Duration
-	unproved int // Sends without proof of not having run.
+	e           *Entry
+	r           Run
+	request     shard.RequestSpec
+	deadline    time.Duration
+	unconfirmed int // Sends that may have run.
 }
 
 func newAttempt(e *Entry, r Run, s *catalogue.Service, groups shardGroups, deadline time.Duration) *attempt {
@@ -35,23 +35,23 @@
 	}}
 }
 
-func (a *attempt) work(ctx context.Context) once.Outcome {
-	last := once.Refused(refusal.New(refusal.HomeUnreachable, "no daemon serves the group").WithRan(refusal.NotRun))
+func (a *attempt) run(ctx context.Context) once.Outcome {
+	last := once.Refused(refusal.New(refusal.HomeUnreachable, "no daemon serves the replica group").WithRan(refusal.NotRun))
 	var tried []string
 	rounds := 0
 	for ctx.Err() == nil {
-		h, acting, ok := a.e.pick(a.request.Group, tried)
+		h, acting, ok := a.e.pickHome(a.request.Group, tried)
 		if !ok {
-			// Homes change hands within a second.
-			pause := firstRound << rounds
-			if rounds >= maxRounds || a.deadline-a.e.clk.Boot() <= 2*pause || clock.Sleep(ctx, a.e.clk, pause) != nil {
+			// A handoff of the home completes within a second.
+			pause := firstRetryPause << rounds
+			if rounds >= maxRetryRounds || a.deadline-a.e.clk.Boot() <= 2*pause || clock.Sleep(ctx, a.e.clk, pause) != nil {
 				break
 			}
 			tried, rounds = nil, rounds+1
 			continue
 		}
-		invariant.Check("entry.run_once", a.unproved == 0, "request %s is sent again without proof", a.r.id)
-		a.unproved++
+		invariant.Check("entry.run_once", a.unconfirmed == 0, "request %s is sent again without proof that the previous send did not run", a.r.id)
+		a.unconfirmed++
 		spec := a.request
 		spec.Acting = acting
 		tried = append(tried, h.Name())
@@ -59,7 +59,7 @@
 		if last.Ran() != refusal.NotRun {
 			return last
 		}
-		a.unproved--
+		a.unconfirmed--
 		switch last.Kind() {
 		case refusal.NotHome, refusal.ShuttingDown, refusal.HomeUnreachable, refusal.WrongIncarnation:
 			meter.Retried("entry", last.Kind())
@@ -73,7 +73,7 @@
 	return last
 }
 
-// send returns an outcome whose "not run" is final for that daemon.
+// send sends the request to h. If the outcome is "not run", h will never run it.
 func (a *attempt) send(ctx context.Context, h Home, r shard.Request) once.Outcome {
 	if h.Self() {
 		return a.outcome(a.e.fleet.Local(ctx, r))
@@ -82,21 +82,22 @@
 	if err != nil {
 		e := refusal.Of(err)
 		if ctx.Err() == nil {
-			a.e.reach.failed(h)
+			a.e.reachability.recordFailure(h)
 		}
 		if e.Ran() == refusal.NotRun {
 			return once.Refused(e)
 		}
 		if a.e.clk.Boot() >= a.deadline {
-			// After a long pause the home may have forgotten the request.
-			return unknown(e.Detail())
+			// The process may have paused for long, so the home's record of the
+			// request may have expired.
+			return outcomeUnknown(e.Detail())
 		}
-		return a.e.ask(ctx, h, once.AskHome(a.r.owner, a.r.id))
+		return a.e.pollOutcome(ctx, h, once.AskHome(a.r.owner, a.r.id))
 	}
-	a.e.reach.answered(h)
-	res, n := find(results, r)
+	a.e.reachability.recordSuccess(h)
+	res, n := findResult(results, r)
 	if n != 1 {
-		return unknown("home's reply lacks the request")
+		return outcomeUnknown("reply of the home does not contain exactly one result for the request")
 	}
 	return a.outcome(*res)
 }
@@ -108,11 +109,11 @@
 	case r.Ran() == refusal.NotRun:
 		return once.Refused(refusal.New(r.Kind(), "%s", r.Detail()).WithRan(refusal.NotRun))
 	default:
-		return unknown(string(r.Kind()) + ": " + r.Detail())
+		return outcomeUnknown(string(r.Kind()) + ": " + r.Detail())
 	}
 }
 
-func unknown(detail string) once.Outcome {
+func outcomeUnknown(detail string) once.Outcome {
 	meter.Count("entry.run_unknown", 1)
 	return once.Refused(refusal.New(refusal.OutcomeUnknown, "%s", detail))
 }
--- a/entry/batch.go
+++ b/entry/batch.go
@@ -6,14 +6,14 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// batch is the requests of one query that go to one daemon in one call.
+// batch holds the requests of one query that are sent to one daemon in one call.
 type batch struct {
-	home     Home
-	requests []shard.Request
-	lanes    []int         // Index of the lane of each request.
-	sent     time.Duration // Boot time.
-	answered bool
-	given    bool // Its lanes were sent elsewhere because the daemon is silent.
+	home       Home
+	requests   []shard.Request
+	subqueries []int         // Index in the plan of each request's subquery.
+	sentAt     time.Duration // Boot time.
+	answered   bool
+	reassigned bool // The daemon was silent; the subqueries went to acting homes.
 }
 
 func (b *batch) contains(r shard.Result) bool {
@@ -25,7 +25,7 @@
 	return false
 }
 
-// fractionOf returns the part f of d.
+// fractionOf returns the fraction f of d.
 func fractionOf(d time.Duration, f float64) time.Duration {
 	return time.Duration(float64(d) * f)
 }
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -12,12 +12,13 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// benchShards are today's services and the fan-out expected in two years.
+// benchShards holds the shard counts of current services, and 130, the fan-out
+// expected in two years.
 var benchShards = []int{1, 20, 30, 130}
 
 const benchHits = 10
 
-func benchLayout(n int) (*catalogue.Service, *layout, *table) {
+func benchLayout(n int) (*catalogue.Service, *layout, *labelTable) {
 	var shards []*catalogue.Shard
 	for i := range n {
 		shards = append(shards, catalogue.NewShard(catalogue.ShardSpec{
@@ -28,9 +29,9 @@
 	s := catalogue.NewService(catalogue.ServiceSpec{
 		EntrySpec: catalogue.EntrySpec{Name: "songs"}, Shards: shards, GroupSize: 4, ExtraBudget: 0.05,
 	})
-	l, t := newLayout(s), newTable(clock.System{})
+	l, t := newLayout(s), newLabelTable(clock.System{})
 	for i, g := range l.shards {
-		t.learn(g.groups[0], []shard.Label{benchLabel(i, n, 2), benchLabel(i, n, 1)})
+		t.update(g.groups[0], []shard.Label{benchLabel(i, n, 2), benchLabel(i, n, 1)})
 	}
 	return s, l, t
 }
@@ -57,7 +58,7 @@
 			_, l, t := benchLayout(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				if p, ok := choose(l, t, "q1", nil); !ok || !p.complete() {
+				if p, ok := choosePlan(l, t, "q1", nil); !ok || !p.complete() {
 					b.Fatal("no plan")
 				}
 			}
@@ -69,11 +70,11 @@
 	for _, n := range benchShards {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
 			_, l, t := benchLayout(n)
-			p, _ := choose(l, t, "q1", nil)
-			for i := range p.lanes {
-				r := shard.NewRequest(shard.RequestSpec{Shard: p.lanes[i].shard, Group: p.lanes[i].group})
+			p, _ := choosePlan(l, t, "q1", nil)
+			for i := range p.subqueries {
+				r := shard.NewRequest(shard.RequestSpec{Shard: p.subqueries[i].shard, Group: p.subqueries[i].group})
 				res := benchResult(r, i, n)
-				p.lanes[i].merged, p.lanes[i].result = true, &res
+				p.subqueries[i].accepted, p.subqueries[i].result = true, &res
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -85,7 +86,7 @@
 	}
 }
 
-// BenchmarkSearch is a whole query over 7 homes without the peer calls.
+// BenchmarkSearch measures a whole query over 7 homes, without peer calls.
 func BenchmarkSearch(b *testing.B) {
 	for _, n := range benchShards {
 		b.Run(fmt.Sprintf("shards=%d", n), func(b *testing.B) {
@@ -115,7 +116,7 @@
 				},
 			})
 			for i, g := range l.shards {
-				e.table.learn(g.groups[0], []shard.Label{benchLabel(i, n, 2)})
+				e.labels.update(g.groups[0], []shard.Label{benchLabel(i, n, 2)})
 			}
 			q := Query{id: "q1", owner: "o", class: catalogue.Interactive, service: "songs", route: "r", deadline: time.Second, limit: benchHits}
 			b.ReportAllocs()
--- a/entry/body.go
+++ b/entry/body.go
@@ -9,12 +9,13 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// maxDiscard bounds what is read of a body over the limit. A connection that is
-// closed while the caller still writes is reset, and the caller loses the refusal.
-const maxDiscard = 4 * maxBodyBytes
+// maxDiscardBytes limits how much of an oversized body is read and discarded. If
+// the connection were closed while the caller still writes, the caller would see
+// a reset instead of the refusal.
+const maxDiscardBytes = 4 * maxBodyBytes
 
-// readBody returns a copy of the body, because the request's own bytes belong to
-// the connection and late calls outlive the handler.
+// readBody returns a copy of the request body. fasthttp reuses the original
+// bytes after the handler returns, but late peer calls still need them.
 func readBody(c *fasthttp.RequestCtx) ([]byte, error) {
 	if !c.Request.IsBodyStream() {
 		return slices.Clone(c.PostBody()), nil
@@ -23,12 +24,12 @@
 	data, err := io.ReadAll(io.LimitReader(stream, maxBodyBytes+1))
 	if err != nil {
 		c.SetConnectionClose()
-		return nil, refusal.New(refusal.Malformed, "body: %v", err)
+		return nil, refusal.New(refusal.Malformed, "request body cannot be read: %v", err)
 	}
 	if len(data) <= maxBodyBytes {
 		return data, nil
 	}
-	_, _ = io.CopyN(io.Discard, stream, maxDiscard)
+	_, _ = io.CopyN(io.Discard, stream, maxDiscardBytes)
 	c.SetConnectionClose()
-	return nil, refusal.New(refusal.TooLarge, "request exceeds %d bytes", maxBodyBytes)
+	return nil, refusal.New(refusal.TooLarge, "request body exceeds %d bytes", maxBodyBytes)
 }
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -3,21 +3,22 @@
 import "sync"
 
 const (
-	// extraShare is the part of a service's budget for extra sub-requests that
-	// entries may use. The homes' hedges and retries use the rest.
+	// extraShare is the fraction of a service's budget for extra sub-requests
+	// that entries may use. Hedges and retries of the homes use the rest.
 	extraShare = 0.2
-	// firstBurst is the number of fan-outs that a new budget can repeat.
-	firstBurst = 4
-	// extraBurst is the number of fan-outs that a full budget can repeat. It
-	// lets the queries in flight restart when a snapshot is withdrawn, and those
-	// in flight to a home that falls silent go to an acting one. At 4, the
-	// queries of maxSilence at 50/s to an unsharded service missed their
-	// deadline; the budget has to be earned, so the long-run share is the same.
-	extraBurst = 64
+	// initialBurst is the number of fan-outs that a new budget can repeat.
+	initialBurst = 4
+	// maxBurst is the number of fan-outs that a full budget can repeat. It lets
+	// queries in flight restart when a snapshot is withdrawn, or move to an
+	// acting home when a home becomes silent. With 4, the queries that arrived
+	// within maxSilence at 50/s for an unsharded service missed their deadline.
+	// Tokens are credited per first send, so maxBurst does not change the
+	// long-run share of extra sub-requests.
+	maxBurst = 64
 )
 
-// budget bounds the sub-requests that the entry sends a second time while the
-// first send may have run.
+// budget limits the sub-requests that the entry sends again although the first
+// send may have run. It is a token bucket per service.
 type budget struct {
 	mu     sync.Mutex
 	tokens map[string]float64
@@ -25,18 +26,19 @@
 
 func newBudget() *budget { return &budget{tokens: make(map[string]float64)} }
 
-// earn credits n first sends of a service with the given budget.
-func (b *budget) earn(service string, share float64, n, shards int) {
+// earn credits the first sends of a service. The share is the service's budget
+// for extra sub-requests as a fraction of its sub-requests.
+func (b *budget) earn(service string, share float64, sends, shards int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	have, ok := b.tokens[service]
+	tokens, ok := b.tokens[service]
 	if !ok {
-		have = float64(firstBurst * shards)
+		tokens = float64(initialBurst * shards)
 	}
-	b.tokens[service] = min(float64(extraBurst*shards), have+share*extraShare*float64(n))
+	b.tokens[service] = min(float64(maxBurst*shards), tokens+share*extraShare*float64(sends))
 }
 
-// spend takes n tokens or none.
+// spend removes n tokens and returns true, or returns false if fewer are left.
 func (b *budget) spend(service string, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/decode.go
+++ b/entry/decode.go
@@ -73,26 +73,27 @@
 	}}, nil
 }
 
-func decodeStrict(data []byte, into any) error {
+func decodeStrict(data []byte, dst any) error {
 	if len(data) > maxBodyBytes {
-		return refusal.New(refusal.TooLarge, "request has %d bytes, the limit is %d", len(data), maxBodyBytes)
+		return refusal.New(refusal.TooLarge, "request body has %d bytes, the limit is %d", len(data), maxBodyBytes)
 	}
 	if !utf8.Valid(data) {
-		return refusal.New(refusal.Malformed, "request is not UTF-8")
+		return refusal.New(refusal.Malformed, "request body is not valid UTF-8")
 	}
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
-		return refusal.New(refusal.Malformed, "request is not valid JSON of this kind: %v", err)
+	if err := dec.Decode(dst); err != nil {
+		return refusal.New(refusal.Malformed, "request body is not valid JSON for this endpoint: %v", err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return refusal.New(refusal.Malformed, "data follows the request at byte %d", dec.InputOffset())
+		return refusal.New(refusal.Malformed, "unexpected data follows the JSON value at byte %d", dec.InputOffset())
 	}
 	return nil
 }
 
-// query checks the bounds. The returned Query carries the identifier even with
-// an error, so that the refusal can name it.
+// query validates the fields and applies the defaults. Unless the identifier
+// itself is invalid, the Query carries it even with an error, so that the
+// refusal can name it.
 func (b queryBody) query() (Query, error) {
 	q := Query{
 		id: b.ID, owner: b.Owner, class: catalogue.Class(b.Class), service: b.Service, route: b.Route,
@@ -116,7 +117,7 @@
 	}
 	switch {
 	case !q.class.Valid():
-		return q, refusal.New(refusal.Malformed, "class: %q is not a class", b.Class)
+		return q, refusal.New(refusal.Malformed, "class: %q is not a known class", b.Class)
 	case b.DeadlineMS < 0 || b.DeadlineMS > maxDeadline.Milliseconds():
 		return q, refusal.New(refusal.Malformed, "deadline_ms: %d is not between 0 and %d", b.DeadlineMS, maxDeadline.Milliseconds())
 	case q.limit < 0 || q.limit > maxHits:
@@ -125,8 +126,8 @@
 	return q, nil
 }
 
-// checkName permits printable ASCII because names appear in headers of the
-// target protocol.
+// checkName accepts only printable ASCII without spaces, because names are sent
+// in headers of the target protocol. The path is the name of the JSON field.
 func checkName(path, s string) error {
 	if s == "" {
 		return refusal.New(refusal.Malformed, "%s: missing", path)
--- a/entry/decode_test.go
+++ b/entry/decode_test.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	goodQuery = `{"id":"q1","owner":"desk","class":"interactive","service":"songs","route":"chorus","deadline_ms":200,"limit":5,"body":{"text":"la"}}`
-	goodRun   = `{"id":"r1","owner":"desk","class":"batch","service":"queue","route":"add","deadline_ms":200,"ticket":{"incarnation":"ab12","issued_ms":1700000000000},"body":"x"}`
+	validQuery = `{"id":"q1","owner":"desk","class":"interactive","service":"songs","route":"chorus","deadline_ms":200,"limit":5,"body":{"text":"la"}}`
+	validRun   = `{"id":"r1","owner":"desk","class":"batch","service":"queue","route":"add","deadline_ms":200,"ticket":{"incarnation":"ab12","issued_ms":1700000000000},"body":"x"}`
 )
 
-// Guards against a malformed request that is planned, or is refused with
-// another kind than its fault has.
-func TestDecodeRefusesEachFault(t *testing.T) {
+// Guards against a malformed request that is accepted, and against a refusal of
+// the wrong kind or without the name of the invalid field.
+func TestDecodeRefusals(t *testing.T) {
 	replace := func(s, old, with string) string { return strings.Replace(s, old, with, 1) }
 	for name, c := range map[string]struct {
 		body string
 		kind refusal.Kind
 		path string
 	}{
-		"good":            {goodQuery, refusal.None, ""},
+		"good":            {validQuery, refusal.None, ""},
 		"empty":           {"", refusal.Malformed, ""},
-		"unknown field":   {replace(goodQuery, `"limit"`, `"limits"`), refusal.Malformed, "limits"},
-		"trailing data":   {goodQuery + "{}", refusal.Malformed, "follows"},
-		"no id":           {replace(goodQuery, `"q1"`, `""`), refusal.Malformed, "id"},
-		"long id":         {replace(goodQuery, "q1", strings.Repeat("x", maxNameBytes+1)), refusal.Malformed, "id"},
-		"space in id":     {replace(goodQuery, "q1", "q 1"), refusal.Malformed, "id"},
-		"line in route":   {replace(goodQuery, "chorus", `a\nb`), refusal.Malformed, "route"},
-		"class":           {replace(goodQuery, "interactive", "urgent"), refusal.Malformed, "class"},
-		"deadline":        {replace(goodQuery, "200", "-1"), refusal.Malformed, "deadline_ms"},
-		"long deadline":   {replace(goodQuery, "200", "9000000000000000000"), refusal.Malformed, "deadline_ms"},
-		"limit":           {replace(goodQuery, `"limit":5`, `"limit":1001`), refusal.Malformed, "limit"},
-		"not UTF-8":       {replace(goodQuery, "la", "\xff"), refusal.Malformed, "UTF-8"},
-		"size":            {replace(goodQuery, "la", strings.Repeat("l", maxBodyBytes)), refusal.TooLarge, ""},
-		"ticket in query": {replace(goodQuery, `"limit":5`, `"ticket":{}`), refusal.Malformed, "ticket"},
+		"unknown field":   {replace(validQuery, `"limit"`, `"limits"`), refusal.Malformed, "limits"},
+		"trailing data":   {validQuery + "{}", refusal.Malformed, "follows"},
+		"no id":           {replace(validQuery, `"q1"`, `""`), refusal.Malformed, "id"},
+		"long id":         {replace(validQuery, "q1", strings.Repeat("x", maxNameBytes+1)), refusal.Malformed, "id"},
+		"space in id":     {replace(validQuery, "q1", "q 1"), refusal.Malformed, "id"},
+		"line in route":   {replace(validQuery, "chorus", `a\nb`), refusal.Malformed, "route"},
+		"class":           {replace(validQuery, "interactive", "urgent"), refusal.Malformed, "class"},
+		"deadline":        {replace(validQuery, "200", "-1"), refusal.Malformed, "deadline_ms"},
+		"long deadline":   {replace(validQuery, "200", "9000000000000000000"), refusal.Malformed, "deadline_ms"},
+		"limit":           {replace(validQuery, `"limit":5`, `"limit":1001`), refusal.Malformed, "limit"},
+		"not UTF-8":       {replace(validQuery, "la", "\xff"), refusal.Malformed, "UTF-8"},
+		"size":            {replace(validQuery, "la", strings.Repeat("l", maxBodyBytes)), refusal.TooLarge, ""},
+		"ticket in query": {replace(validQuery, `"limit":5`, `"ticket":{}`), refusal.Malformed, "ticket"},
 	} {
 		_, err := decodeQuery([]byte(c.body))
-		checkFault(t, name, err, c.kind, c.path)
+		checkRefusal(t, name, err, c.kind, c.path)
 	}
 	for name, c := range map[string]struct {
 		body string
 		kind refusal.Kind
 		path string
 	}{
-		"good":           {goodRun, refusal.None, ""},
-		"no ticket":      {replace(goodRun, `"ticket":{"incarnation":"ab12","issued_ms":1700000000000},`, ""), refusal.Malformed, "ticket"},
-		"no incarnation": {replace(goodRun, `"ab12"`, `""`), refusal.Malformed, "ticket.incarnation"},
-		"no time":        {replace(goodRun, "1700000000000", "0"), refusal.Malformed, "ticket.issued_ms"},
+		"good":           {validRun, refusal.None, ""},
+		"no ticket":      {replace(validRun, `"ticket":{"incarnation":"ab12","issued_ms":1700000000000},`, ""), refusal.Malformed, "ticket"},
+		"no incarnation": {replace(validRun, `"ab12"`, `""`), refusal.Malformed, "ticket.incarnation"},
+		"no time":        {replace(validRun, "1700000000000", "0"), refusal.Malformed, "ticket.issued_ms"},
 	} {
 		_, err := decodeRun([]byte(c.body))
-		checkFault(t, "run: "+name, err, c.kind, c.path)
+		checkRefusal(t, "run: "+name, err, c.kind, c.path)
 	}
 }
 
-func checkFault(t *testing.T, name string, err error, kind refusal.Kind, path string) {
+func checkRefusal(t *testing.T, name string, err error, kind refusal.Kind, path string) {
 	t.Helper()
 	if kind == refusal.None {
 		if err != nil {
@@ -72,10 +72,10 @@
 	}
 }
 
-// Guards against a request within all bounds by the decoder's word that breaks
-// one, and against a panic.
+// Guards against a panic of the decoder, and against an accepted request that
+// violates a limit.
 func FuzzDecodeQuery(f *testing.F) {
-	for _, s := range []string{goodQuery, `{}`, `[]`, `{"id":"\u0000"}`, `{"id":"a","deadline_ms":1e3}`, goodQuery + " "} {
+	for _, s := range []string{validQuery, `{}`, `[]`, `{"id":"\u0000"}`, `{"id":"a","deadline_ms":1e3}`, validQuery + " "} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -86,9 +86,9 @@
 	})
 }
 
-// Guards the decoder of non-idempotent requests in the same way.
+// Guards against the same failures in the decoder of non-idempotent requests.
 func FuzzDecodeRun(f *testing.F) {
-	for _, s := range []string{goodRun, goodQuery, `{"ticket":null}`, `{"id":"a","ticket":{"issued_ms":-1}}`} {
+	for _, s := range []string{validRun, validQuery, `{"ticket":null}`, `{"id":"a","ticket":{"issued_ms":-1}}`} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -117,15 +117,15 @@
 	}
 }
 
-// Guards against an answer whose JSON a caller cannot read back.
-func TestAnswerEncodesOpaquePayloads(t *testing.T) {
+// Guards against invalid JSON in an answer whose payload is not JSON.
+func TestAnswerOpaquePayload(t *testing.T) {
 	for _, data := range []string{"", `{"a":1}`, "\xff\x00", `"text"`} {
-		raw := rawOf([]byte(data))
+		raw := rawJSON([]byte(data))
 		if len(raw) > 0 && !json.Valid(raw) {
 			t.Errorf("payload %q is encoded as %s", data, raw)
 		}
 	}
-	if got := fmt.Sprintf("%s", rawOf([]byte("\xff\x00"))); got != `"/wA="` {
+	if got := fmt.Sprintf("%s", rawJSON([]byte("\xff\x00"))); got != `"/wA="` {
 		t.Errorf("binary payload is encoded as %s", got)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -10,55 +10,58 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Entry plans and merges queries.
+// Entry answers queries and executes non-idempotent requests of callers. It is
+// safe for concurrent use.
 type Entry struct {
-	fleet   Fleet
-	clk     clock.Clock
-	table   *table
-	reach   *reach
-	budget  *budget
-	layouts layouts
-	once    *once.Table
-	cuts    cuts
-	// incarnation identifies this process in tickets.
+	fleet        Fleet
+	clk          clock.Clock
+	labels       *labelTable
+	reachability *reachability
+	budget       *budget
+	layouts      layouts
+	once         *once.Table
+	cutoffs      ticketCutoffs
+	// incarnation is this daemon's incarnation, as named in tickets.
 	incarnation string
-	sends       atomic.Uint64
+	sendCount   atomic.Uint64
 	inFlight    atomic.Int64
-	closing     atomic.Bool
+	leaving     atomic.Bool
 
 	admit        func(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error)
 	suspectState func(fingerprint uint64) SuspectState
 	addressTTL   time.Duration
-	origin       time.Time // Wall time at boot, read once.
+	bootWallTime time.Time // Wall time at boot time 0, read once.
 }
 
-// Option changes how New builds an Entry.
+// Option configures an Entry that New creates.
 type Option func(*Entry)
 
 // WithClock replaces the system clock.
 func WithClock(c clock.Clock) Option { return func(e *Entry) { e.clk = c } }
 
-// WithAdmission sets the check of owners' limits. The returned function ends
-// the request's use of the limits.
+// WithAdmission sets the admission check, which applies the owners' limits. The
+// function that f returns releases the admitted request's part of the limits.
 func WithAdmission(f func(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error)) Option {
 	return func(e *Entry) { e.admit = f }
 }
 
-// WithSuspectState sets the lookup of fingerprints that crashed searchers.
+// WithSuspectState sets the function that returns the state of a request's
+// fingerprint. Without it every fingerprint is Clean.
 func WithSuspectState(f func(fingerprint uint64) SuspectState) Option {
 	return func(e *Entry) { e.suspectState = f }
 }
 
-// WithAddressTTL sets how long callers may keep the address answer.
+// WithAddressTTL sets how long callers may cache the list of addresses. The
+// default is 5 s.
 func WithAddressTTL(d time.Duration) Option { return func(e *Entry) { e.addressTTL = d } }
 
 // WithOnce sets the identifier table of non-idempotent requests and the
-// incarnation that they belong to.
+// incarnation whose tickets this daemon executes.
 func WithOnce(t *once.Table, incarnation string) Option {
 	return func(e *Entry) { e.once, e.incarnation = t, incarnation }
 }
 
-// New returns an Entry over the fleet.
+// New returns an Entry that reaches the homes through fleet.
 func New(fleet Fleet, opts ...Option) *Entry {
 	e := &Entry{
 		fleet: fleet,
@@ -67,7 +70,7 @@
 			return func() {}, nil
 		},
 		suspectState: func(uint64) SuspectState { return Clean },
-		addressTTL:   defaultKeep,
+		addressTTL:   defaultAddressTTL,
 	}
 	for _, o := range opts {
 		o(e)
@@ -75,58 +78,62 @@
 	if e.once == nil {
 		e.once = once.NewTable(once.WithClock(e.clk))
 	}
-	e.table = newTable(e.clk)
-	e.reach = newReach(e.clk)
+	e.labels = newLabelTable(e.clk)
+	e.reachability = newReachability(e.clk)
 	e.budget = newBudget()
-	// The wall clock may be set while the daemon runs; tickets need a time
-	// that only goes forward.
-	e.origin = e.clk.Now().Add(-e.clk.Boot())
+	// The wall clock may be set back while the daemon runs, but the time in
+	// tickets must never go back.
+	e.bootWallTime = e.clk.Now().Add(-e.clk.Boot())
 	return e
 }
 
-// Leave makes the entry refuse new requests. Requests in flight go on.
-func (e *Entry) Leave() { e.closing.Store(true) }
+// Leave makes the entry refuse new requests. Requests in flight continue.
+func (e *Entry) Leave() { e.leaving.Store(true) }
 
 // InFlight returns the number of requests in flight.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// RecordContact records whether a daemon answered a call of another part.
+// RecordContact records whether a daemon answered a peer call that another
+// package made.
 func (e *Entry) RecordContact(h Home, answered bool) {
 	if answered {
-		e.reach.answered(h)
+		e.reachability.recordSuccess(h)
 	} else {
-		e.reach.failed(h)
+		e.reachability.recordFailure(h)
 	}
 }
 
-// Reachable reports whether the daemon of that name answered the latest call to
-// it. The membership shows a lost daemon only after its lease.
-func (e *Entry) Reachable(name string) bool { return e.reach.answers(name) }
+// Reachable reports whether the named daemon answered the latest peer call. The
+// membership drops a lost daemon only after its lease expires.
+func (e *Entry) Reachable(name string) bool { return e.reachability.reachable(name) }
 
-// Now returns the wall time at start plus the time since, which never goes back.
-func (e *Entry) Now() time.Time { return e.origin.Add(e.clk.Boot()) }
+// Now returns the wall time at which the Entry was created plus the boot time
+// elapsed since. It never goes back.
+func (e *Entry) Now() time.Time { return e.bootWallTime.Add(e.clk.Boot()) }
 
-// accept checks what every request has in common. Its refusals precede any
-// send, so they are "not run".
+// accept applies the checks common to all requests and limits the deadline of q
+// to the service's maximum. It returns the service, the catalogue generation and
+// a function that releases the admitted request. Refusals are "not run", because
+// nothing has been sent yet.
 func (e *Entry) accept(q *Query) (*catalogue.Service, uint64, func(), error) {
-	if e.closing.Load() {
-		return nil, 0, nil, refusal.New(refusal.ShuttingDown, "daemon is leaving")
+	if e.leaving.Load() {
+		return nil, 0, nil, refusal.New(refusal.ShuttingDown, "daemon is shutting down")
 	}
 	estate, ok := e.fleet.Estate()
 	if !ok {
-		return nil, 0, nil, refusal.New(refusal.NoConfiguration, "daemon has no catalogue yet")
+		return nil, 0, nil, refusal.New(refusal.NoConfiguration, "daemon has not received a catalogue yet")
 	}
 	s, ok := estate.Service(q.service)
 	if !ok {
 		return nil, 0, nil, refusal.New(refusal.UnknownService, "service %q is not in the catalogue", q.service)
 	}
-	bound := int64(maxInFlight)
+	maxRequests := int64(maxInFlight)
 	if q.class == catalogue.Batch {
-		bound = maxBatchInFlight
+		maxRequests = maxBatchInFlight
 	}
-	if e.inFlight.Add(1) > bound {
+	if e.inFlight.Add(1) > maxRequests {
 		e.inFlight.Add(-1)
-		return nil, 0, nil, refusal.New(refusal.Overloaded, "daemon has %d requests in flight", bound)
+		return nil, 0, nil, refusal.New(refusal.Overloaded, "daemon is at its limit of %d requests in flight", maxRequests)
 	}
 	release, err := e.admit(estate, q.owner, q.class, s)
 	if err != nil {
--- a/entry/failover_test.go
+++ b/entry/failover_test.go
@@ -13,36 +13,37 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// sent is one sub-request that a fake home received.
-type sent struct {
-	home   string
-	group  string
-	acting bool
-	marked bool // As suspect.
-	id     string
+// sentRequest is one sub-request that a fake home received.
+type sentRequest struct {
+	home    string
+	group   string
+	acting  bool
+	suspect bool
+	id      string
 }
 
-// record replaces the homes of w by ones that note what they receive. Calls to
-// the silent daemon never return.
-func (w *world) record(silent string) func() []sent {
+// recordSends makes the fake homes record the sub-requests that they receive, and
+// disables random faults. Calls to the silent daemon return only when their
+// context ends. The returned function returns the records since its last call.
+func (c *fakeCluster) recordSends(silent string) func() []sentRequest {
 	var mu sync.Mutex
-	var list []sent
-	w.healthy = true
-	relay, local := w.e.fleet.Relay, w.e.fleet.Local
-	note := func(name string, r shard.Request) {
+	var list []sentRequest
+	c.faultless = true
+	relay, local := c.e.fleet.Relay, c.e.fleet.Local
+	add := func(name string, r shard.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		if r.Snapshot() != askSnapshot {
-			list = append(list, sent{name, r.Group(), r.Acting(), r.Suspect(), r.ID()})
+		if r.Snapshot() != labelQuerySnapshot {
+			list = append(list, sentRequest{name, r.Group(), r.Acting(), r.Suspect(), r.ID()})
 		}
 	}
-	w.e.fleet.Local = func(ctx context.Context, r shard.Request) shard.Result {
-		note("a", r)
+	c.e.fleet.Local = func(ctx context.Context, r shard.Request) shard.Result {
+		add("a", r)
 		return local(ctx, r)
 	}
-	w.e.fleet.Relay = func(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
+	c.e.fleet.Relay = func(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
 		for _, r := range batch {
-			note(to.Name(), r)
+			add(to.Name(), r)
 		}
 		if to.Name() == silent {
 			<-ctx.Done()
@@ -50,12 +51,12 @@
 		}
 		return relay(ctx, to, batch)
 	}
-	return func() []sent {
+	return func() []sentRequest {
 		mu.Lock()
 		defer mu.Unlock()
-		taken := list
+		recorded := list
 		list = nil
-		return taken
+		return recorded
 	}
 }
 
@@ -66,19 +67,19 @@
 	}
 }
 
-// Guards against a silent home that costs callers their answer, against later
-// queries that wait for it again, and against a second send under the identifier
-// of the first, which a late cancellation would end.
-func TestSilentHomeIsReplacedByActingHome(t *testing.T) {
+// Guards against a partial answer when a home is silent, and against later queries
+// that wait for the silent home again. Also guards against a second send with the
+// identifier of the first: a late cancellation of the first would cancel both.
+func TestFanoutSilentHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		taken := w.record("b")
-		for i := range worldShards {
-			w.e.table.learn(groupID(i), w.labels(groupID(i)))
+		c := newFakeCluster(t, 1)
+		takeSent := c.recordSends("b")
+		for i := range testShards {
+			c.e.labels.update(groupID(i), c.labels(groupID(i)))
 		}
 		for k, id := range []string{"first", "second"} {
 			began := time.Now()
-			a, err := w.e.Search(context.Background(), query(id), w.clk.Boot())
+			a, err := c.e.Search(context.Background(), query(id), c.clk.Boot())
 			if err != nil || len(a.missing) > 0 {
 				t.Fatalf("%s: %+v, %v", id, a, err)
 			}
@@ -86,14 +87,14 @@
 				t.Errorf("second query took %v", took)
 			}
 			ids := make(map[string]string) // Identifier to group and home.
-			for _, s := range taken() {
+			for _, s := range takeSent() {
 				if key := s.group + s.home; ids[s.group+s.id] != "" && ids[s.group+s.id] != key {
 					t.Errorf("%s: %+v has the identifier of another send", id, s)
 				} else {
 					ids[s.group+s.id] = key
 				}
-				ofSilent := (s.group[len("songs/s")]-'0')%3 == 1
-				if s.acting != (s.home == "c" && ofSilent) {
+				homeIsSilent := (s.group[len("songs/s")]-'0')%3 == 1
+				if s.acting != (s.home == "c" && homeIsSilent) {
 					t.Errorf("%s: sent %+v", id, s)
 				}
 			}
@@ -102,51 +103,51 @@
 	})
 }
 
-// Guards against a suspect that is fanned out to all shards before one of them
-// has survived it, or that is retried.
-func TestSuspectGoesToOneShardFirst(t *testing.T) {
+// Guards against a suspect query that is fanned out to all shards before one shard
+// has run it without a crash, and against a retry after the crash.
+func TestFanoutSuspectOneShardFirst(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 1)
-			taken := w.record("")
-			w.e.suspectState = func(uint64) SuspectState { return Suspect }
-			for i := range worldShards {
-				w.e.table.learn(groupID(i), w.labels(groupID(i)))
+			c := newFakeCluster(t, 1)
+			takeSent := c.recordSends("")
+			c.e.suspectState = func(uint64) SuspectState { return Suspect }
+			for i := range testShards {
+				c.e.labels.update(groupID(i), c.labels(groupID(i)))
 			}
 			crashed := func(r shard.Request) shard.Result {
 				return shard.NewResult(shard.ResultSpec{
 					Kind: refusal.SearcherFailed, Ran: refusal.DidRun, Shard: r.Shard(), Group: r.Group(), Crashed: true,
 				})
 			}
-			local, relay := w.e.fleet.Local, w.e.fleet.Relay
-			w.e.fleet.Local = func(ctx context.Context, r shard.Request) shard.Result {
+			local, relay := c.e.fleet.Local, c.e.fleet.Relay
+			c.e.fleet.Local = func(ctx context.Context, r shard.Request) shard.Result {
 				if res := local(ctx, r); !crash {
 					return res
 				}
 				return crashed(r)
 			}
-			w.e.fleet.Relay = func(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
+			c.e.fleet.Relay = func(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
 				if res, err := relay(ctx, to, batch); !crash {
 					return res, err
 				}
 				return []shard.Result{crashed(batch[0])}, nil
 			}
-			_, err := w.e.Search(context.Background(), query("q"), w.clk.Boot())
-			list := taken()
+			_, err := c.e.Search(context.Background(), query("q"), c.clk.Boot())
+			list := takeSent()
 			if crash {
 				if e := refusal.Of(err); len(list) != 1 || e.Ran() != refusal.DidRun {
 					t.Errorf("crash: %d sends, %v", len(list), err)
 				}
 				return
 			}
-			if err != nil || len(list) != worldShards {
+			if err != nil || len(list) != testShards {
 				t.Errorf("%d sends, %v", len(list), err)
 			}
 			groups := make(map[string]bool)
 			for _, s := range list {
-				groups[s.group] = s.marked
+				groups[s.group] = s.suspect
 			}
-			if len(groups) != worldShards || slices.ContainsFunc(list, func(s sent) bool { return !s.marked }) {
+			if len(groups) != testShards || slices.ContainsFunc(list, func(s sentRequest) bool { return !s.suspect }) {
 				t.Errorf("sends %+v", list)
 			}
 			time.Sleep(5 * time.Second)
@@ -154,33 +155,33 @@
 	}
 }
 
-// Guards against a home that falls silent right after it has answered another
-// query, which hid its silence from the queries that it already had, and against
-// more of these than a small burst that miss their answer although the budget was
-// earned.
-func TestHomeSilentAfterAnotherAnswer(t *testing.T) {
+// Guards against partial answers when a home becomes silent right after it answered
+// another query: that answer made it look alive to the queries that it already had.
+// 40 such queries exceed a small burst, so this also guards against a maxBurst that
+// is too low although the budget has enough credit.
+func TestFanoutHomeSilentAfterAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1)
-		w.record("b")
-		for i := range worldShards {
-			w.e.table.learn(groupID(i), w.labels(groupID(i)))
+		c := newFakeCluster(t, 1)
+		c.recordSends("b")
+		for i := range testShards {
+			c.e.labels.update(groupID(i), c.labels(groupID(i)))
 		}
 		const queries = 40
 		for range 100 * queries {
-			w.e.budget.earn("songs", 0.05, worldShards, worldShards)
+			c.e.budget.earn("songs", 0.05, testShards, testShards)
 		}
 		var wg sync.WaitGroup
 		for k := range queries {
 			wg.Go(func() {
 				time.Sleep(time.Duration(k) * time.Millisecond)
-				a, err := w.e.Search(context.Background(), query("q"), w.clk.Boot())
+				a, err := c.e.Search(context.Background(), query("q"), c.clk.Boot())
 				if err != nil || len(a.missing) > 0 {
 					t.Errorf("query %d: %+v, %v", k, a, err)
 				}
 			})
 		}
 		time.Sleep(queries / 2 * time.Millisecond)
-		w.e.reach.answered(NewHome(HomeSpec{Name: "b"}))
+		c.e.reachability.recordSuccess(NewHome(HomeSpec{Name: "b"}))
 		wg.Wait()
 		time.Sleep(5 * time.Second)
 	})
--- a/entry/fixture_test.go
+++ b/entry/fixture_test.go
@@ -16,33 +16,34 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// fixture is three daemons and one searcher that counts the runs of each request.
+// fixture simulates three daemons and one searcher, and counts the runs of each
+// request.
 type fixture struct {
 	t      *testing.T
-	clk    bubble
+	clk    fakeClock
 	estate catalogue.Estate
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	slots [3]*node
-	made  int
-	runs  map[string]int
+	mu      sync.Mutex
+	rng     *rand.Rand
+	nodes   [3]*node
+	started int
+	runs    map[string]int
 }
 
 // node is one daemon incarnation.
 type node struct {
-	y      *fixture
-	home   Home
-	e      *Entry
-	desk   *once.Responder
-	guard  *once.Guard
-	dead   bool
-	paused time.Duration // Boot time until which the process stands still.
+	fixture     *fixture
+	home        Home
+	e           *Entry
+	responder   *once.Responder
+	guard       *once.Guard
+	dead        bool
+	pausedUntil time.Duration // Boot time until which the process is paused.
 }
 
 func newFixture(t *testing.T, seed uint64) *fixture {
-	y := &fixture{
-		t: t, clk: bubble{start: time.Now()}, rng: rand.New(rand.NewPCG(seed, 2)), runs: make(map[string]int),
+	f := &fixture{
+		t: t, clk: fakeClock{start: time.Now()}, rng: rand.New(rand.NewPCG(seed, 2)), runs: make(map[string]int),
 		estate: catalogue.NewEstate(catalogue.EstateSpec{Generation: 1, Services: []*catalogue.Service{
 			catalogue.NewService(catalogue.ServiceSpec{
 				EntrySpec: catalogue.EntrySpec{Name: "log"}, GroupSize: 4, NonIdempotent: true,
@@ -53,59 +54,60 @@
 			}),
 		}}),
 	}
-	for i := range y.slots {
-		y.start(i)
+	for i := range f.nodes {
+		f.start(i)
 	}
-	return y
+	return f
 }
 
-// start replaces the daemon in a slot by a new incarnation.
-func (y *fixture) start(i int) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	if y.slots[i] != nil {
-		y.slots[i].dead = true
+// start kills the daemon with index i, if any, and starts a new incarnation.
+func (f *fixture) start(i int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.nodes[i] != nil {
+		f.nodes[i].dead = true
 	}
-	y.made++
-	n := &node{y: y, home: NewHome(HomeSpec{Name: fmt.Sprint("d", i), Incarnation: fmt.Sprint("i", y.made)})}
-	// Small tables and a short window make both limits part of the run.
-	opts := []once.Option{once.WithClock(y.clk), once.WithRecords(400), once.WithWindow(4 * time.Second)}
+	f.started++
+	n := &node{fixture: f, home: NewHome(HomeSpec{Name: fmt.Sprint("d", i), Incarnation: fmt.Sprint("i", f.started)})}
+	// The tables are small and the window is short, so that the run reaches both
+	// limits.
+	opts := []once.Option{once.WithClock(f.clk), once.WithRecords(400), once.WithWindow(4 * time.Second)}
 	own, relayed := once.NewTable(opts...), once.NewTable(opts...)
 	n.guard = once.NewGuard(relayed, n.search)
 	n.e = New(Fleet{
-		Estate:             func() (catalogue.Estate, bool) { return y.estate, true },
-		PreferenceList:     n.order,
+		Estate:             func() (catalogue.Estate, bool) { return f.estate, true },
+		PreferenceList:     n.preferenceList,
 		Local:              n.search,
 		AvailableSnapshots: func(string) []shard.Label { return nil },
 		Relay:              n.relay,
 		Outcome:            n.outcome,
-		Member:             y.member,
-	}, WithClock(y.clk), WithOnce(own, n.home.Incarnation()))
-	n.desk = once.NewResponder(n.home.Incarnation(), n.e.Now, own, relayed)
-	y.slots[i] = n
+		Member:             f.member,
+	}, WithClock(f.clk), WithOnce(own, n.home.Incarnation()))
+	n.responder = once.NewResponder(n.home.Incarnation(), n.e.Now, own, relayed)
+	f.nodes[i] = n
 }
 
-func (y *fixture) random(n int) int {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.rng.IntN(n)
+func (f *fixture) random(n int) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.rng.IntN(n)
 }
 
-// order lists the daemons as n knows them: slot 0 is home.
-func (n *node) order(string) []Home {
-	n.y.mu.Lock()
-	defer n.y.mu.Unlock()
+// preferenceList returns all daemons as n sees them. Daemon 0 is the home.
+func (n *node) preferenceList(string) []Home {
+	n.fixture.mu.Lock()
+	defer n.fixture.mu.Unlock()
 	var list []Home
-	for _, d := range n.y.slots {
+	for _, d := range n.fixture.nodes {
 		list = append(list, NewHome(HomeSpec{Name: d.home.Name(), Incarnation: d.home.Incarnation(), Self: d == n}))
 	}
 	return list
 }
 
-func (y *fixture) member(incarnation string) (Home, bool) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	for _, d := range y.slots {
+func (f *fixture) member(incarnation string) (Home, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, d := range f.nodes {
 		if d.home.Incarnation() == incarnation {
 			return d.home, true
 		}
@@ -113,117 +115,119 @@
 	return Home{}, false
 }
 
-// settle lets a paused process stand still. It reports false for a dead one.
-func (n *node) settle() bool {
+// waitWhilePaused returns when the process is no longer paused. It returns false if
+// the process is dead.
+func (n *node) waitWhilePaused() bool {
 	for {
-		n.y.mu.Lock()
-		rest := n.paused - n.y.clk.Boot()
+		n.fixture.mu.Lock()
+		remaining := n.pausedUntil - n.fixture.clk.Boot()
 		dead := n.dead
-		n.y.mu.Unlock()
-		if dead || rest <= 0 {
+		n.fixture.mu.Unlock()
+		if dead || remaining <= 0 {
 			return !dead
 		}
-		time.Sleep(rest)
+		time.Sleep(remaining)
 	}
 }
 
-// reach finds the process that a call goes to. The error is what a client sees.
-func (n *node) reach(ctx context.Context, to Home) (*node, error) {
-	if !n.settle() {
-		<-ctx.Done() // Nobody reads what a dead process would do.
+// connect returns the current process of the daemon to. The error is the one that
+// a client gets.
+func (n *node) connect(ctx context.Context, to Home) (*node, error) {
+	if !n.waitWhilePaused() {
+		<-ctx.Done() // A dead process makes no calls.
 		return nil, ctx.Err()
 	}
-	n.y.mu.Lock()
+	n.fixture.mu.Lock()
 	var d *node
-	for _, s := range n.y.slots {
+	for _, s := range n.fixture.nodes {
 		if s.home.Name() == to.Name() {
 			d = s
 		}
 	}
-	n.y.mu.Unlock()
-	if n.y.random(50) == 0 {
+	n.fixture.mu.Unlock()
+	if n.fixture.random(50) == 0 {
 		return nil, refusal.New(refusal.HomeUnreachable, "connection refused").WithRan(refusal.NotRun)
 	}
 	return d, nil
 }
 
-// carry runs f at another process; its reply may come late or be lost.
-func carry[R any](ctx context.Context, n *node, to Home, f func(d *node) R) (R, error) {
-	var none R
-	d, err := n.reach(ctx, to)
+// callPeer runs handle in another process. The reply may be late or lost.
+func callPeer[R any](ctx context.Context, n *node, to Home, handle func(d *node) R) (R, error) {
+	var zero R
+	d, err := n.connect(ctx, to)
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	got, reset := make(chan R, 1), make(chan struct{})
+	replies, reset := make(chan R, 1), make(chan struct{})
 	go func() {
-		time.Sleep(time.Duration(n.y.random(5)) * time.Millisecond)
-		if !d.settle() {
+		time.Sleep(time.Duration(n.fixture.random(5)) * time.Millisecond)
+		if !d.waitWhilePaused() {
 			return
 		}
-		if n.y.random(20) == 0 {
-			close(reset) // The call goes on at the other process.
+		if n.fixture.random(20) == 0 {
+			close(reset) // The other process continues to run the call.
 		}
-		r := f(d)
-		if d.settle() && n.y.random(20) != 0 {
-			got <- r
+		r := handle(d)
+		if d.waitWhilePaused() && n.fixture.random(20) != 0 {
+			replies <- r
 		}
 	}()
 	select {
-	case r := <-got:
+	case r := <-replies:
 		return r, nil
 	case <-reset:
-		return none, refusal.New(refusal.HomeUnreachable, "connection reset")
+		return zero, refusal.New(refusal.HomeUnreachable, "connection reset")
 	case <-ctx.Done():
-		return none, refusal.New(refusal.HomeUnreachable, "no reply")
+		return zero, refusal.New(refusal.HomeUnreachable, "no reply")
 	}
 }
 
 func (n *node) relay(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
-	return carry(ctx, n, to, func(d *node) []shard.Result {
-		ctx, cancel := clock.WithDeadline(context.Background(), n.y.clk, batch[0].Deadline())
+	return callPeer(ctx, n, to, func(d *node) []shard.Result {
+		ctx, cancel := clock.WithDeadline(context.Background(), n.fixture.clk, batch[0].Deadline())
 		defer cancel()
 		return []shard.Result{d.guard.Do(ctx, batch[0])}
 	})
 }
 
 func (n *node) outcome(ctx context.Context, to Home, in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
-	return carry(ctx, n, to, func(d *node) *peerpb.OutcomeReply {
-		reply, err := d.desk.Outcome(in)
+	return callPeer(ctx, n, to, func(d *node) *peerpb.OutcomeReply {
+		reply, err := d.responder.Outcome(in)
 		if err != nil {
-			n.y.t.Error(err)
+			n.fixture.t.Error(err)
 		}
 		return reply
 	})
 }
 
-// search is the daemon's home with a searcher that dies before, during or
-// after the run.
+// search simulates the daemon's home with a searcher that may crash before, during
+// or after the run.
 func (n *node) search(_ context.Context, r shard.Request) shard.Result {
 	spec := shard.ResultSpec{Shard: r.Shard(), Group: r.Group(), Ran: refusal.NotRun}
 	fail := func(kind refusal.Kind, ran refusal.Ran) shard.Result {
 		spec.Kind, spec.Ran = kind, ran
 		return shard.NewResult(spec)
 	}
-	fate := n.y.random(30)
-	switch fate {
+	fault := n.fixture.random(30)
+	switch fault {
 	case 0:
 		return fail(refusal.NotHome, refusal.NotRun)
 	case 1:
 		return fail(refusal.Overloaded, refusal.NotRun)
 	case 2:
-		return fail(refusal.SearcherFailed, refusal.Unknown) // Died before the run.
+		return fail(refusal.SearcherFailed, refusal.Unknown) // Crashed before the run.
 	}
-	time.Sleep(time.Duration(n.y.random(30)) * time.Millisecond)
+	time.Sleep(time.Duration(n.fixture.random(30)) * time.Millisecond)
 	// The home checks its lease and the deadline immediately before the send.
-	if !n.settle() || n.y.clk.Boot() >= r.Deadline() {
+	if !n.waitWhilePaused() || n.fixture.clk.Boot() >= r.Deadline() {
 		return fail(refusal.Deadline, refusal.NotRun)
 	}
-	n.y.mu.Lock()
-	n.y.runs[r.ID()]++
-	n.y.mu.Unlock()
-	time.Sleep(time.Duration(n.y.random(30)) * time.Millisecond)
-	if fate <= 4 || !n.settle() {
-		return fail(refusal.SearcherFailed, refusal.Unknown) // Died during or after the run.
+	n.fixture.mu.Lock()
+	n.fixture.runs[r.ID()]++
+	n.fixture.mu.Unlock()
+	time.Sleep(time.Duration(n.fixture.random(30)) * time.Millisecond)
+	if fault <= 4 || !n.waitWhilePaused() {
+		return fail(refusal.SearcherFailed, refusal.Unknown) // Crashed during or after the run.
 	}
 	spec.Ran, spec.Body = refusal.DidRun, []byte(`"done"`)
 	return shard.NewResult(spec)
--- a/entry/home.go
+++ b/entry/home.go
@@ -1,14 +1,14 @@
 package entry
 
-// HomeSpec holds the values that NewHome takes.
+// HomeSpec holds the values of a Home.
 type HomeSpec struct {
 	// Name is the daemon's name in the membership.
 	Name string
-	// Incarnation identifies the process.
+	// Incarnation identifies the daemon process.
 	Incarnation string
 	// PeerAddress is the IP address and port for peer calls.
 	PeerAddress string
-	// Self is set for this daemon.
+	// Self is set if the Home is this daemon.
 	Self bool
 }
 
@@ -17,17 +17,17 @@
 	spec HomeSpec
 }
 
-// NewHome returns the immutable Home that spec describes.
+// NewHome returns the Home that spec describes.
 func NewHome(spec HomeSpec) Home { return Home{spec: spec} }
 
-// Name is the daemon's name in the membership.
+// Name returns the daemon's name in the membership.
 func (h Home) Name() string { return h.spec.Name }
 
-// Incarnation identifies the process.
+// Incarnation returns the identifier of the daemon process.
 func (h Home) Incarnation() string { return h.spec.Incarnation }
 
-// PeerAddress is the IP address and port for peer calls.
+// PeerAddress returns the IP address and port for peer calls.
 func (h Home) PeerAddress() string { return h.spec.PeerAddress }
 
-// Self is set for this daemon.
+// Self reports whether the Home is this daemon.
 func (h Home) Self() bool { return h.spec.Self }
--- a/entry/layout.go
+++ b/entry/layout.go
@@ -16,15 +16,15 @@
 	groups []string
 }
 
-// layouts caches the layout of each service of one catalogue generation,
-// because naming the groups of 130 shards costs more than planning a query.
+// layouts caches the layout of each service of one catalogue generation. To list
+// the groups of 130 shards costs more than to plan a query.
 type layouts struct {
 	mu         sync.RWMutex
 	generation uint64
 	services   map[*catalogue.Service]*layout
 }
 
-func (c *layouts) of(generation uint64, s *catalogue.Service) *layout {
+func (c *layouts) get(generation uint64, s *catalogue.Service) *layout {
 	c.mu.RLock()
 	if c.generation == generation {
 		if l, ok := c.services[s]; ok {
--- a/entry/merge.go
+++ b/entry/merge.go
@@ -9,35 +9,35 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// merge builds the answer of the accepted results of p. It returns nil when
-// nothing was accepted.
+// merge builds the answer from the accepted results of p. It returns nil if no
+// result is left.
 func merge(id string, limit int, p *plan) *Answer {
-	dropOverlaps(p)
-	a := &Answer{id: id, target: p.target}
+	rejectOverlaps(p)
+	a := &Answer{id: id, version: p.version}
 	top := newTopK(limit)
-	for i := range p.lanes {
-		l := &p.lanes[i]
-		if !l.merged {
-			a.missing = append(a.missing, missing{shard: l.shard, reason: l.reason})
+	for i := range p.subqueries {
+		sq := &p.subqueries[i]
+		if !sq.accepted {
+			a.missing = append(a.missing, missingShard{shard: sq.shard, reason: sq.reason})
 			continue
 		}
-		label := l.result.Label()
-		if targetOf(label) != p.target { // Formats only on a violation.
-			invariant.Check("entry.one_snapshot", false, "query %s merges %v into an answer of %v", id, label, p.target)
+		label := sq.result.Label()
+		if indexVersionOf(label) != p.version { // Avoids the cost of formatting the arguments.
+			invariant.Check("entry.one_snapshot", false, "query %s merges a result with label %v into an answer of index version %v", id, label, p.version)
 		}
 		a.documents += label.Documents()
-		for _, h := range l.result.Hits() {
-			top.add(merged{Hit: h, shard: l.shard})
+		for _, h := range sq.result.Hits() {
+			top.add(shardHit{Hit: h, shard: sq.shard})
 		}
 	}
-	if len(a.missing) == len(p.lanes) {
+	if len(a.missing) == len(p.subqueries) {
 		return nil
 	}
-	if a.documents > a.target.total {
-		// The labels contradict their own total, so no coverage is true.
+	if a.documents > a.version.total {
+		// The labels contradict their own total, so no coverage figure is reliable.
 		meter.Count("entry.coverage.inconsistent", 1)
-		for i := range p.lanes {
-			p.lanes[i].reject("labels exceed the snapshot's total")
+		for i := range p.subqueries {
+			p.subqueries[i].reject("labels of all shards together exceed the snapshot's total number of documents")
 		}
 		return nil
 	}
@@ -45,39 +45,39 @@
 	return a
 }
 
-// dropOverlaps rejects results whose key ranges are not disjoint. Which of two
-// is wrong cannot be known, so neither is merged.
-func dropOverlaps(p *plan) {
-	order := make([]*lane, 0, len(p.lanes))
-	for i := range p.lanes {
-		if p.lanes[i].merged {
-			order = append(order, &p.lanes[i])
+// rejectOverlaps rejects results whose key ranges overlap. It rejects both,
+// because it cannot know which of the two is wrong.
+func rejectOverlaps(p *plan) {
+	accepted := make([]*subquery, 0, len(p.subqueries))
+	for i := range p.subqueries {
+		if p.subqueries[i].accepted {
+			accepted = append(accepted, &p.subqueries[i])
 		}
 	}
-	slices.SortFunc(order, func(a, b *lane) int {
+	slices.SortFunc(accepted, func(a, b *subquery) int {
 		return cmp.Compare(a.result.Label().Low(), b.result.Label().Low())
 	})
-	var widest *lane
-	var bad []*lane
-	for _, l := range order {
-		if widest != nil && l.result.Label().Low() < widest.result.Label().High() {
-			bad = append(bad, widest, l)
+	var widest *subquery
+	var overlapping []*subquery
+	for _, sq := range accepted {
+		if widest != nil && sq.result.Label().Low() < widest.result.Label().High() {
+			overlapping = append(overlapping, widest, sq)
 		}
-		if widest == nil || l.result.Label().High() > widest.result.Label().High() {
-			widest = l
+		if widest == nil || sq.result.Label().High() > widest.result.Label().High() {
+			widest = sq
 		}
 	}
-	for _, l := range bad {
-		l.reject("key range overlaps another shard's")
+	for _, sq := range overlapping {
+		sq.reject("key range overlaps that of another shard")
 	}
 }
 
-// reject withdraws an accepted result.
-func (l *lane) reject(detail string) {
-	if !l.merged {
+// reject revokes the acceptance of a result.
+func (sq *subquery) reject(detail string) {
+	if !sq.accepted {
 		return
 	}
 	meter.Count("entry.result.rejected."+string(refusal.BadReply), 1)
-	l.merged = false
-	l.fail(refusal.BadReply, refusal.DidRun, detail)
+	sq.accepted = false
+	sq.fail(refusal.BadReply, refusal.DidRun, detail)
 }
--- a/entry/once_random_test.go
+++ b/entry/once_random_test.go
@@ -13,84 +13,85 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// onceRequests is the number of non-idempotent requests of the run.
+// onceRequests is the number of non-idempotent requests over all seeds.
 const onceRequests = 10_000
 
-// Guards against a request that runs twice, or that runs although a caller was
-// told that it did not, while callers resend to the same and other daemons,
-// copies arrive late, daemons are killed or paused, replies are lost and
-// searchers die before, during and after the run.
+// Guards against a request that runs twice, and against one that runs although a
+// caller got the outcome "not run". Meanwhile callers resend to the same and to
+// other daemons, copies arrive late, daemons are killed or paused, replies are
+// lost, and searchers crash before, during and after the run.
 func TestNonIdempotentRequestsRunAtMostOnce(t *testing.T) {
 	const seeds = 10
 	sum := make(map[string]int)
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			y := newFixture(t, seed)
+			f := newFixture(t, seed)
 			stop := make(chan struct{})
-			go y.disturb(stop)
-			for what, n := range y.callers(onceRequests / seeds) {
-				sum[what] += n
+			go f.injectFaults(stop)
+			for result, n := range f.runCallers(onceRequests / seeds) {
+				sum[result] += n
 			}
 			close(stop)
-			time.Sleep(20 * time.Second) // Late copies end.
+			time.Sleep(20 * time.Second) // Lets late copies finish.
 		})
 	}
 	t.Logf("%d requests: %v", onceRequests, sum)
-	for _, what := range []string{"ran", "refused", "unknown"} {
-		if sum[what] == 0 {
-			t.Errorf("no request ended as %q", what)
+	for _, result := range []string{"ran", "refused", "unknown"} {
+		if sum[result] == 0 {
+			t.Errorf("no request ended as %q", result)
 		}
 	}
 }
 
-// disturb kills and pauses daemons.
-func (y *fixture) disturb(stop chan struct{}) {
+// injectFaults kills or pauses random daemons until stop is closed.
+func (f *fixture) injectFaults(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(100+y.random(400)) * time.Millisecond):
+		case <-time.After(time.Duration(100+f.random(400)) * time.Millisecond):
 		}
-		i := y.random(len(y.slots))
-		if y.random(3) == 0 {
-			y.start(i)
+		i := f.random(len(f.nodes))
+		if f.random(3) == 0 {
+			f.start(i)
 			continue
 		}
-		pause := time.Duration(y.random(600)) * time.Millisecond
-		y.mu.Lock()
-		y.slots[i].paused = y.clk.Boot() + pause
-		y.mu.Unlock()
+		pause := time.Duration(f.random(600)) * time.Millisecond
+		f.mu.Lock()
+		f.nodes[i].pausedUntil = f.clk.Boot() + pause
+		f.mu.Unlock()
 	}
 }
 
-// told is what one caller heard about its request.
-type told struct {
+// callerOutcomes holds the outcomes that one caller received for its request.
+type callerOutcomes struct {
 	mu       sync.Mutex
 	outcomes []once.Outcome
 }
 
-func (y *fixture) callers(n int) map[string]int {
-	heard := make([]*told, n)
+func (f *fixture) runCallers(n int) map[string]int {
+	outcomes := make([]*callerOutcomes, n)
 	var wg sync.WaitGroup
 	for i := range n {
-		time.Sleep(time.Duration(y.random(8)) * time.Millisecond)
-		heard[i] = &told{}
-		wg.Go(func() { y.call(fmt.Sprint("r", i), heard[i]) })
+		time.Sleep(time.Duration(f.random(8)) * time.Millisecond)
+		outcomes[i] = &callerOutcomes{}
+		wg.Go(func() { f.sendAndResend(fmt.Sprint("r", i), outcomes[i]) })
 	}
 	wg.Wait()
 	time.Sleep(20 * time.Second)
 	sum := make(map[string]int)
 	for i := range n {
-		sum[y.verdict(fmt.Sprint("r", i), heard[i])]++
+		sum[f.checkOutcomes(fmt.Sprint("r", i), outcomes[i])]++
 	}
 	return sum
 }
 
-// call sends a request and resends it with the same ticket.
-func (y *fixture) call(id string, to *told) {
-	y.mu.Lock()
-	first := y.slots[y.rng.IntN(len(y.slots))]
-	y.mu.Unlock()
+// sendAndResend sends a request and resends it up to three times with the same
+// ticket.
+func (f *fixture) sendAndResend(id string, received *callerOutcomes) {
+	f.mu.Lock()
+	first := f.nodes[f.rng.IntN(len(f.nodes))]
+	f.mu.Unlock()
 	r := Run{
 		Query: Query{
 			id: id, owner: "o", class: catalogue.Interactive, service: "log", route: "r",
@@ -99,62 +100,62 @@
 		ticket: Ticket{incarnation: first.home.Incarnation(), issued: first.e.Now().Truncate(time.Millisecond)},
 	}
 	var wg sync.WaitGroup
-	for k := range 1 + y.random(4) {
-		y.mu.Lock()
-		d := y.slots[y.rng.IntN(len(y.slots))]
-		y.mu.Unlock()
+	for k := range 1 + f.random(4) {
+		f.mu.Lock()
+		d := f.nodes[f.rng.IntN(len(f.nodes))]
+		f.mu.Unlock()
 		if k == 0 {
 			d = first
 		}
-		late := time.Duration(y.random(200)) * time.Millisecond
-		if y.random(20) == 0 {
-			late += 5 * time.Second // After the window.
+		delay := time.Duration(f.random(200)) * time.Millisecond
+		if f.random(20) == 0 {
+			delay += 5 * time.Second // After the window.
 		}
 		wg.Go(func() {
-			time.Sleep(late)
-			if !d.settle() {
+			time.Sleep(delay)
+			if !d.waitWhilePaused() {
 				return
 			}
-			o := d.e.Run(context.Background(), r, y.clk.Boot())
-			if !d.settle() || y.random(10) == 0 {
+			o := d.e.Run(context.Background(), r, f.clk.Boot())
+			if !d.waitWhilePaused() || f.random(10) == 0 {
 				return // The reply is lost.
 			}
-			to.mu.Lock()
-			to.outcomes = append(to.outcomes, o)
-			to.mu.Unlock()
+			received.mu.Lock()
+			received.outcomes = append(received.outcomes, o)
+			received.mu.Unlock()
 		})
-		if y.random(2) == 0 {
+		if f.random(2) == 0 {
 			wg.Wait()
 		}
 	}
 	wg.Wait()
 }
 
-func (y *fixture) verdict(id string, to *told) string {
-	y.mu.Lock()
-	runs := y.runs[id]
-	y.mu.Unlock()
+func (f *fixture) checkOutcomes(id string, received *callerOutcomes) string {
+	f.mu.Lock()
+	runs := f.runs[id]
+	f.mu.Unlock()
 	if runs > 1 {
-		y.t.Errorf("%s ran %d times", id, runs)
+		f.t.Errorf("%s ran %d times", id, runs)
 	}
-	what := "no reply"
-	for _, o := range to.outcomes {
+	result := "no reply"
+	for _, o := range received.outcomes {
 		switch {
 		case o.Kind() == refusal.None:
-			what = "ran"
+			result = "ran"
 			if runs != 1 {
-				y.t.Errorf("%s is answered and ran %d times", id, runs)
+				f.t.Errorf("%s has an answer but ran %d times", id, runs)
 			}
 		case o.Ran() == refusal.NotRun:
 			if runs > 0 {
-				y.t.Errorf("%s is called not run and ran: %v", id, o.Err())
+				f.t.Errorf("%s has the outcome not run but ran: %v", id, o.Err())
 			}
-			if what != "ran" {
-				what = "refused"
+			if result != "ran" {
+				result = "refused"
 			}
-		case what == "no reply":
-			what = "unknown"
+		case result == "no reply":
+			result = "unknown"
 		}
 	}
-	return what
+	return result
 }
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -6,60 +6,63 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// plan is the choice of one snapshot and one replica group per shard.
+// plan is the choice of one index version and of one replica group per shard.
 type plan struct {
-	target target
-	lanes  []lane
-	// known is the number of lanes whose group announced the target.
-	known int
+	version    indexVersion
+	subqueries []subquery
+	// announced is the number of shards with a group that announced the version.
+	announced int
 }
 
-// complete reports whether every shard announced the target.
-func (p *plan) complete() bool { return p.known == len(p.lanes) }
+// complete reports whether every shard announced the version.
+func (p *plan) complete() bool { return p.announced == len(p.subqueries) }
 
-// choose returns the target that most shards can serve, the newest of these.
-// It skips excluded targets. The id spreads queries over the groups of a shard.
-func choose(l *layout, t *table, id string, exclude []target) (*plan, bool) {
-	votes := make([]vote, 0, maxLabels)
+// choosePlan plans a query on the index version that most shards can serve. Of
+// several it takes the newest. It ignores excluded versions. The hash of id
+// spreads queries over the groups of a shard. The result is false if there is no
+// version to choose.
+func choosePlan(l *layout, t *labelTable, id string, exclude []indexVersion) (*plan, bool) {
+	support := make([]versionSupport, 0, maxLabels)
 	for i := range l.shards {
 		for _, g := range l.shards[i].groups {
-			labels := t.of(g)
-			votes = count(votes, labels, i, exclude)
+			labels := t.get(g)
+			support = countSupport(support, labels, i, exclude)
 		}
 	}
-	if len(votes) == 0 {
+	if len(support) == 0 {
 		return nil, false
 	}
-	best := votes[0]
-	for _, v := range votes[1:] {
-		if v.better(best) {
+	best := support[0]
+	for _, v := range support[1:] {
+		if v.betterThan(best) {
 			best = v
 		}
 	}
-	p := &plan{target: best.target, lanes: make([]lane, len(l.shards)), known: best.shards}
+	p := &plan{version: best.version, subqueries: make([]subquery, len(l.shards)), announced: best.shards}
 	h := xxhash.Sum64String(id)
 	for i := range l.shards {
-		p.lanes[i] = newLane(&l.shards[i], t, best.target, h)
+		p.subqueries[i] = newSubquery(&l.shards[i], t, best.version, h)
 	}
 	return p, true
 }
 
-// newLane picks one of the groups that announced the target, or any group.
-func newLane(s *shardGroups, t *table, to target, h uint64) lane {
+// newSubquery picks a group that announced the version, or any group of the shard
+// if none did. The choice depends on the hash h.
+func newSubquery(s *shardGroups, t *labelTable, version indexVersion, h uint64) subquery {
 	n := uint64(len(s.groups))
 	for k := range n {
 		g := s.groups[(h+k)%n]
-		if label, ok := announcement(t.of(g), to); ok {
-			return lane{shard: s.shard, group: g, label: label, known: true}
+		if label, ok := findLabel(t.get(g), version); ok {
+			return subquery{shard: s.shard, group: g, label: label, labelKnown: true}
 		}
 	}
-	return lane{shard: s.shard, group: s.groups[h%n]}
+	return subquery{shard: s.shard, group: s.groups[h%n]}
 }
 
-// announcement finds the label of a target.
-func announcement(labels []shard.Label, to target) (shard.Label, bool) {
+// findLabel returns the label that has the given index version.
+func findLabel(labels []shard.Label, version indexVersion) (shard.Label, bool) {
 	for _, label := range labels {
-		if targetOf(label) == to {
+		if indexVersionOf(label) == version {
 			return label, true
 		}
 	}
--- a/entry/query.go
+++ b/entry/query.go
@@ -8,7 +8,7 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// Query is a decoded request of a caller.
+// Query is a decoded and validated request of a caller.
 type Query struct {
 	id       string
 	owner    string
@@ -20,8 +20,8 @@
 	body     []byte
 }
 
-// Fingerprint is the hash of service, route and body that identifies requests
-// which crash searchers.
+// Fingerprint returns the hash of service, route and body. It identifies equal
+// requests, so that requests that crash searchers are recognised.
 func (q Query) Fingerprint() uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/entry/random_test.go
+++ b/entry/random_test.go
@@ -16,126 +16,127 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// Guards against an answer that mixes snapshots, misstates its coverage, comes
-// after its deadline, or is called "not run" though a searcher ran it, while
-// snapshots and partition maps change and replies are late, lost, duplicated,
-// reordered or wrongly labelled.
+// Guards against an answer that mixes snapshots, states a wrong coverage or comes
+// after its deadline, and against a refusal "not run" of a query that a searcher
+// ran. Meanwhile snapshots and partition maps change, and replies are late, lost,
+// duplicated, reordered or wrongly labelled.
 func TestRandomisedAnswersEqualTheReference(t *testing.T) {
-	var total tally
+	var total answerCounts
 	restarts := meter.Value("entry.retried.snapshot_gone")
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, seed)
+			c := newFakeCluster(t, seed)
 			stop := make(chan struct{})
-			go w.publish(stop)
-			total.add(w.queries(50))
+			go c.publish(stop)
+			total.add(c.runQueries(50))
 			close(stop)
-			time.Sleep(5 * time.Second) // Late calls end.
+			time.Sleep(5 * time.Second) // Lets late calls finish.
 		})
 	}
 	restarts = meter.Value("entry.retried.snapshot_gone") - restarts
 	t.Logf("%d complete, %d partial, %d refused, %d restarts", total.complete, total.partial, total.refused, restarts)
 	if total.complete == 0 || total.partial == 0 || total.refused == 0 || restarts == 0 {
-		t.Errorf("run did not reach all kinds of answer: %+v, %d restarts", total, restarts)
+		t.Errorf("run did not produce all kinds of answer: %+v, %d restarts", total, restarts)
 	}
 }
 
-type tally struct{ complete, partial, refused int }
+type answerCounts struct{ complete, partial, refused int }
 
-func (a *tally) add(b tally) {
+func (a *answerCounts) add(b answerCounts) {
 	a.complete, a.partial, a.refused = a.complete+b.complete, a.partial+b.partial, a.refused+b.refused
 }
 
-// publish moves the groups one by one to new snapshots and maps.
-func (w *world) publish(stop chan struct{}) {
+// publish moves the groups one by one to new snapshots and partition maps until
+// stop is closed.
+func (c *fakeCluster) publish(stop chan struct{}) {
 	for snapshot, mapID := uint64(1), "m0"; ; {
-		if w.random(2) == 0 {
+		if c.random(2) == 0 {
 			snapshot++
 		} else if mapID == "m0" {
 			mapID = "m1"
 		} else {
 			mapID = "m0"
 		}
-		for i := range worldShards {
+		for i := range testShards {
 			select {
 			case <-stop:
 				return
-			case <-time.After(time.Duration(w.random(60)) * time.Millisecond):
+			case <-time.After(time.Duration(c.random(60)) * time.Millisecond):
 			}
-			w.mu.Lock()
+			c.mu.Lock()
 			g := groupID(i)
-			w.held[g] = append([]shard.Label{label(i, snapshot, mapID)}, w.held[g]...)
-			w.held[g] = w.held[g][:min(2, len(w.held[g]))]
-			w.mu.Unlock()
+			c.groupLabels[g] = append([]shard.Label{testLabel(i, snapshot, mapID)}, c.groupLabels[g]...)
+			c.groupLabels[g] = c.groupLabels[g][:min(2, len(c.groupLabels[g]))]
+			c.mu.Unlock()
 		}
 	}
 }
 
-func (w *world) queries(n int) tally {
-	var sum tally
+func (c *fakeCluster) runQueries(n int) answerCounts {
+	var sum answerCounts
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range n {
-		time.Sleep(time.Duration(w.random(25)) * time.Millisecond)
+		time.Sleep(time.Duration(c.random(25)) * time.Millisecond)
 		q := Query{
 			id: fmt.Sprintf("q%d", i), owner: "o", class: catalogue.Interactive, service: "songs", route: "r",
-			deadline: time.Duration(20+w.random(250)) * time.Millisecond, limit: 1 + w.random(20),
+			deadline: time.Duration(20+c.random(250)) * time.Millisecond, limit: 1 + c.random(20),
 		}
 		wg.Go(func() {
 			began := time.Now()
-			a, err := w.e.Search(context.Background(), q, w.clk.Boot())
+			a, err := c.e.Search(context.Background(), q, c.clk.Boot())
 			if took := time.Since(began); took > q.deadline {
-				w.t.Errorf("%s took %v of %v", q.id, took, q.deadline)
+				c.t.Errorf("%s took %v of %v", q.id, took, q.deadline)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			sum.add(w.check(q, a, err))
+			sum.add(c.checkAnswer(q, a, err))
 		})
 	}
 	wg.Wait()
 	return sum
 }
 
-func (w *world) check(q Query, a *Answer, err error) tally {
+func (c *fakeCluster) checkAnswer(q Query, a *Answer, err error) answerCounts {
 	if err != nil {
 		var e *refusal.Error
 		if !errors.As(err, &e) {
-			w.t.Errorf("%s: error %v is not a refusal", q.id, err)
-			return tally{}
+			c.t.Errorf("%s: error %v is not a refusal", q.id, err)
+			return answerCounts{}
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if e.Ran() == refusal.NotRun && w.ran[q.id] {
-			w.t.Errorf("%s is called not run but ran: %v", q.id, err)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if e.Ran() == refusal.NotRun && c.ran[q.id] {
+			c.t.Errorf("%s has the outcome not run but ran: %v", q.id, err)
 		}
-		return tally{refused: 1}
+		return answerCounts{refused: 1}
 	}
-	var hits []merged
+	var hits []shardHit
 	var docs uint64
-	for i := range worldShards {
+	for i := range testShards {
 		name := fmt.Sprintf("s%d", i)
-		if slices.ContainsFunc(a.missing, func(m missing) bool { return m.shard == name }) {
+		if slices.ContainsFunc(a.missing, func(m missingShard) bool { return m.shard == name }) {
 			continue
 		}
-		l := label(i, a.target.snapshot, a.target.mapID)
+		l := testLabel(i, a.version.snapshot, a.version.mapID)
 		docs += l.Documents()
 		for _, h := range documents(l.Snapshot(), l.Low(), l.High()) {
-			hits = append(hits, merged{Hit: h, shard: name})
+			hits = append(hits, shardHit{Hit: h, shard: name})
 		}
 	}
 	slices.SortFunc(hits, compareHits)
 	hits = hits[:min(q.limit, len(hits))]
-	same := slices.EqualFunc(hits, a.hits, func(x, y merged) bool {
+	same := slices.EqualFunc(hits, a.hits, func(x, y shardHit) bool {
 		return x.ID() == y.ID() && x.Score() == y.Score() && x.shard == y.shard
 	})
 	if !same {
-		w.t.Errorf("%s: hits differ from those of snapshot %v without %v", q.id, a.target, a.missing)
+		c.t.Errorf("%s: hits differ from those of index version %v without the shards %v", q.id, a.version, a.missing)
 	}
-	if want := label(0, a.target.snapshot, a.target.mapID).Total(); a.documents != docs || a.target.total != want {
-		w.t.Errorf("%s: coverage %d of %d, want %d of %d", q.id, a.documents, a.target.total, docs, want)
+	if want := testLabel(0, a.version.snapshot, a.version.mapID).Total(); a.documents != docs || a.version.total != want {
+		c.t.Errorf("%s: coverage %d of %d, want %d of %d", q.id, a.documents, a.version.total, docs, want)
 	}
 	if len(a.missing) > 0 {
-		return tally{partial: 1}
+		return answerCounts{partial: 1}
 	}
-	return tally{complete: 1}
+	return answerCounts{complete: 1}
 }
--- a/entry/search.go
+++ b/entry/search.go
@@ -11,20 +11,21 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// search is the work of one query: up to 1 + maxRestarts fan-outs.
+// search is the state of one query, which takes up to 1 + maxRestarts fan-outs.
 type search struct {
 	e       *Entry
 	q       Query
 	service *catalogue.Service
 	layout  *layout
-	// deadline is the boot time at which the answer leaves.
-	deadline    time.Duration
-	fingerprint uint64
-	suspect     bool
-	tried       []target
+	// deadline is the boot time at which the answer is built.
+	deadline      time.Duration
+	fingerprint   uint64
+	suspect       bool
+	triedVersions []indexVersion
 }
 
-// Search answers a query that arrived at the boot time.
+// Search answers a query that arrived at the given boot time. The error is a
+// *refusal.Error.
 func (e *Entry) Search(ctx context.Context, q Query, arrived time.Duration) (*Answer, error) {
 	service, generation, release, err := e.accept(&q)
 	if err != nil {
@@ -32,17 +33,17 @@
 	}
 	defer release()
 	fp := q.Fingerprint()
-	standing := e.suspectState(fp)
-	if standing == Refused {
+	state := e.suspectState(fp)
+	if state == Refused {
 		return nil, refusal.New(refusal.Poisoned, "equal requests crashed searchers twice")
 	}
-	margin := min(answerMargin, q.deadline/marginDivisor)
+	margin := min(answerMargin, q.deadline/answerMarginDivisor)
 	s := &search{
-		e: e, q: q, service: service, layout: e.layouts.of(generation, service),
-		deadline: arrived + q.deadline - margin, fingerprint: fp, suspect: standing == Suspect,
+		e: e, q: q, service: service, layout: e.layouts.get(generation, service),
+		deadline: arrived + q.deadline - margin, fingerprint: fp, suspect: state == Suspect,
 	}
 	if s.deadline <= e.clk.Boot() {
-		return nil, refusal.New(refusal.Deadline, "no time left on arrival").WithRan(refusal.NotRun)
+		return nil, refusal.New(refusal.Deadline, "deadline passed before the query was planned").WithRan(refusal.NotRun)
 	}
 	ctx, cancel := clock.WithDeadline(ctx, e.clk, s.deadline)
 	defer cancel()
@@ -51,14 +52,14 @@
 	return a, err
 }
 
-// answer fans out until a complete answer is found or no restart can better
-// the one at hand.
+// answer fans out until an answer is complete or a restart cannot improve on the
+// best answer so far. It returns the answer with the highest coverage.
 func (s *search) answer(ctx context.Context) (*Answer, error) {
 	var best *Answer
 	var last *fanout
 	for restarts := 0; ; restarts++ {
-		s.ask(ctx)
-		p, ok := choose(s.layout, s.e.table, s.q.id, s.tried)
+		s.refreshLabels(ctx)
+		p, ok := choosePlan(s.layout, s.e.labels, s.q.id, s.triedVersions)
 		if !ok {
 			break
 		}
@@ -66,10 +67,10 @@
 			break
 		}
 		invariant.Check("entry.restarts", restarts <= maxRestarts, "query %s restarts %d times", s.q.id, restarts)
-		s.tried = append(s.tried, p.target)
+		s.triedVersions = append(s.triedVersions, p.version)
 		f := newFanout(s, p)
 		f.ran = ranOf(last)
-		f.work(ctx)
+		f.run(ctx)
 		last = f
 		if a := merge(s.q.id, s.q.limit, p); a != nil && (best == nil || a.fraction() > best.fraction()) {
 			best = a
@@ -77,10 +78,10 @@
 		if !f.stale {
 			break
 		}
-		// A withdrawn snapshot or a new partition map concerns all groups.
+		// A withdrawn snapshot or a new partition map affects all groups.
 		for _, g := range s.layout.shards {
 			for _, id := range g.groups {
-				s.e.table.doubt(id)
+				s.e.labels.invalidate(id)
 			}
 		}
 	}
@@ -90,24 +91,24 @@
 	case last == nil:
 		return nil, refusal.New(refusal.NoSnapshot, "no shard of %q has announced a snapshot", s.q.service)
 	default:
-		return nil, last.refusal(ctx)
+		return nil, last.refusalError(ctx)
 	}
 }
 
 func (s *search) mayRestart(ctx context.Context, p *plan, best *Answer, last *fanout, restarts int) bool {
-	have := 0
+	covered := 0
 	if best != nil {
-		have = len(p.lanes) - len(best.missing)
+		covered = len(p.subqueries) - len(best.missing)
 	}
 	switch {
 	case restarts > maxRestarts, s.suspect, ctx.Err() != nil:
 		return false
-	case s.deadline-s.e.clk.Boot() < minRestart:
+	case s.deadline-s.e.clk.Boot() < minRestartTime:
 		return false
-	case p.known <= have:
+	case p.announced <= covered:
 		return false
 	}
-	if !s.e.budget.spend(s.service.Name(), last.mayHaveRun()) {
+	if !s.e.budget.spend(s.service.Name(), last.countMayHaveRun()) {
 		meter.Count("entry.restart.no_budget", 1)
 		return false
 	}
@@ -115,7 +116,7 @@
 	return true
 }
 
-// observe updates the figures of one service.
+// observe records latency and coverage metrics of one query.
 func (e *Entry) observe(service string, a *Answer, took time.Duration) {
 	meter.Latency("entry.latency."+service, took)
 	if a == nil {
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -34,9 +34,9 @@
 	return s, "http://" + l.Addr().String()
 }
 
-// Guards against a fault of a request that is answered without a typed refusal,
-// or with a status that differs from the table.
-func TestServerAnswersFaultsWithTypedRefusals(t *testing.T) {
+// Guards against an invalid request that is answered without a typed refusal, or
+// with a status or retry advice that does not match the refusal's kind.
+func TestServerTypedRefusals(t *testing.T) {
 	empty := func() (catalogue.Estate, bool) { return catalogue.Estate{}, true }
 	e := New(Fleet{Estate: empty, Addresses: func() []Address { return nil }})
 	s, base := serveEntry(t, e)
@@ -44,7 +44,7 @@
 		t.Helper()
 		var from io.Reader = strings.NewReader(body)
 		if strings.HasPrefix(name, "chunked") {
-			from = struct{ io.Reader }{from} // Hides the length.
+			from = struct{ io.Reader }{from} // Hides the length, so that the body is sent chunked.
 		}
 		resp, err := http.Post(base+path, "application/json", from)
 		if err != nil {
@@ -64,24 +64,25 @@
 			t.Errorf("%s: status %d, refusal %+v; want kind %s", name, resp.StatusCode, r, kind)
 		}
 	}
-	check("path", "/v1/other", goodQuery, refusal.Malformed)
+	check("path", "/v1/other", validQuery, refusal.Malformed)
 	check("syntax", "/v1/query", "{", refusal.Malformed)
-	check("service", "/v1/query", goodQuery, refusal.UnknownService)
-	check("ticket", "/v1/run", goodQuery, refusal.Malformed)
+	check("service", "/v1/query", validQuery, refusal.UnknownService)
+	check("ticket", "/v1/run", validQuery, refusal.Malformed)
 	check("size", "/v1/query", strings.Repeat(" ", maxBodyBytes+1), refusal.TooLarge)
 	check("size, refused again", "/v1/run", strings.Repeat(" ", 3*maxBodyBytes), refusal.TooLarge)
-	check("chunked", "/v1/query", goodQuery, refusal.UnknownService)
+	check("chunked", "/v1/query", validQuery, refusal.UnknownService)
 	check("chunked size", "/v1/query", strings.Repeat(" ", 2*maxBodyBytes), refusal.TooLarge)
-	check("after the refusal", "/v1/query", goodQuery, refusal.UnknownService)
+	check("after the refusal", "/v1/query", validQuery, refusal.UnknownService)
 	s.connections.Add(maxConnections)
-	check("connections", "/v1/query", goodQuery, refusal.Overloaded)
+	check("connections", "/v1/query", validQuery, refusal.Overloaded)
 	s.connections.Add(-maxConnections)
 	e.Leave()
-	check("leaving", "/v1/query", goodQuery, refusal.ShuttingDown)
+	check("leaving", "/v1/query", validQuery, refusal.ShuttingDown)
 }
 
-// Guards against an address answer that a caller cannot make a ticket from.
-func TestAddressesCarryTicketTime(t *testing.T) {
+// Guards against a list of addresses without the incarnation or the issue time
+// that callers need for a ticket.
+func TestAddressesTicketTime(t *testing.T) {
 	e := New(Fleet{Addresses: func() []Address { return []Address{NewAddress("10.0.0.1:80", "ab", "d1")} }})
 	_, base := serveEntry(t, e)
 	resp, err := http.Get(base + "/v1/addresses")
@@ -93,7 +94,7 @@
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Addresses) != 1 || r.Addresses[0].Incarnation != "ab" || r.IssuedMS <= 0 || r.KeepMS != defaultKeep.Milliseconds() {
+	if len(r.Addresses) != 1 || r.Addresses[0].Incarnation != "ab" || r.IssuedMS <= 0 || r.KeepMS != defaultAddressTTL.Milliseconds() {
 		t.Errorf("answer %+v", r)
 	}
 }
--- a/entry/serverlog.go
+++ b/entry/serverlog.go
@@ -6,10 +6,10 @@
 	"github.com/rs/zerolog/log"
 )
 
-// serverLog turns the messages of the HTTP server into log lines.
+// serverLog forwards the messages of the HTTP server to the daemon's log.
 type serverLog struct{}
 
-// Printf logs one message.
+// Printf logs one message as a warning.
 func (serverLog) Printf(format string, args ...any) {
 	log.Warn().Str("listener", "callers").Str("error", fmt.Sprintf(format, args...)).Msg("HTTP server reported an error")
 }
--- a/entry/topk.go
+++ b/entry/topk.go
@@ -7,20 +7,21 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// topK keeps the best hits seen, by score and then by identifier.
+// topK collects the best hits in the order of compareHits, each document once. The
+// hits form a heap.
 type topK struct {
 	limit int
-	heap  []merged // The worst kept hit is first.
+	heap  []shardHit // The worst hit is first.
 	ids   map[string]struct{}
 }
 
 func newTopK(limit int) *topK {
-	return &topK{limit: limit, heap: make([]merged, 0, limit), ids: make(map[string]struct{}, limit)}
+	return &topK{limit: limit, heap: make([]shardHit, 0, limit), ids: make(map[string]struct{}, limit)}
 }
 
-// add offers a hit. A document that two shards return is kept once, with its
-// better score.
-func (t *topK) add(h merged) {
+// add adds a hit if it is among the best. If two shards return the same document,
+// it keeps the hit that compareHits ranks first.
+func (t *topK) add(h shardHit) {
 	if len(t.heap) == t.limit && (t.limit == 0 || compareHits(h, t.heap[0]) >= 0) {
 		return
 	}
@@ -31,35 +32,35 @@
 	if len(t.heap) < t.limit {
 		t.heap = append(t.heap, h)
 		t.ids[h.ID()] = struct{}{}
-		t.up(len(t.heap) - 1)
+		t.siftUp(len(t.heap) - 1)
 		return
 	}
 	delete(t.ids, t.heap[0].ID())
 	t.ids[h.ID()] = struct{}{}
 	t.heap[0] = h
-	t.down(0)
+	t.siftDown(0)
 }
 
-func (t *topK) replace(h merged) {
+func (t *topK) replace(h shardHit) {
 	meter.Count("entry.hit.duplicate", 1)
 	for i := range t.heap {
 		if t.heap[i].ID() == h.ID() {
 			if compareHits(h, t.heap[i]) < 0 {
 				t.heap[i] = h
-				t.down(i)
+				t.siftDown(i)
 			}
 			return
 		}
 	}
 }
 
-// sorted returns the kept hits, best first.
-func (t *topK) sorted() []merged {
+// sorted returns the hits, best first. The topK must not be used afterwards.
+func (t *topK) sorted() []shardHit {
 	slices.SortFunc(t.heap, compareHits)
 	return t.heap
 }
 
-func (t *topK) up(i int) {
+func (t *topK) siftUp(i int) {
 	for i > 0 {
 		parent := (i - 1) / 2
 		if compareHits(t.heap[i], t.heap[parent]) <= 0 {
@@ -70,7 +71,7 @@
 	}
 }
 
-func (t *topK) down(i int) {
+func (t *topK) siftDown(i int) {
 	for {
 		worst := i
 		for c := 2*i + 1; c <= 2*i+2 && c < len(t.heap); c++ {
@@ -86,9 +87,9 @@
 	}
 }
 
-// compareHits orders better hits first. The shard decides between equal
-// identifiers, so the order does not depend on arrival.
-func compareHits(a, b merged) int {
+// compareHits orders hits by descending score, then by identifier, then by shard.
+// The order does not depend on the order of arrival.
+func compareHits(a, b shardHit) int {
 	return cmp.Or(
 		cmp.Compare(b.Score(), a.Score()),
 		cmp.Compare(a.ID(), b.ID()),
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -56,15 +56,15 @@
 	Detail string        `json:"detail"`
 }
 
-func (a *Answer) wire() answerReply {
+func (a *Answer) reply() answerReply {
 	out := answerReply{
-		ID: a.id, Snapshot: a.target.snapshot, PartitionMap: a.target.mapID,
-		Coverage: coverageReply{Documents: a.documents, Total: a.target.total, Fraction: a.fraction()},
+		ID: a.id, Snapshot: a.version.snapshot, PartitionMap: a.version.mapID,
+		Coverage: coverageReply{Documents: a.documents, Total: a.version.total, Fraction: a.fraction()},
 		Hits:     make([]hitReply, 0, len(a.hits)),
 		Missing:  make([]missingReply, 0, len(a.missing)),
 	}
 	for _, h := range a.hits {
-		out.Hits = append(out.Hits, hitReply{ID: h.ID(), Score: h.Score(), Shard: h.shard, Data: rawOf(h.Data())})
+		out.Hits = append(out.Hits, hitReply{ID: h.ID(), Score: h.Score(), Shard: h.shard, Data: rawJSON(h.Data())})
 	}
 	for _, m := range a.missing {
 		out.Missing = append(out.Missing, missingReply{m.shard, m.reason})
@@ -72,8 +72,9 @@
 	return out
 }
 
-// rawOf passes JSON through and encodes other payloads as a base64 string.
-func rawOf(data []byte) json.RawMessage {
+// rawJSON returns valid JSON unchanged and encodes any other payload as a JSON
+// string in base64.
+func rawJSON(data []byte) json.RawMessage {
 	if len(data) == 0 || json.Valid(data) {
 		return data
 	}
@@ -81,8 +82,9 @@
 	return s
 }
 
-// send writes v as the whole reply.
-func send(c *fasthttp.RequestCtx, status int, v any) {
+// writeJSON writes v as the body of the response. If v cannot be encoded, it
+// writes an internal error.
+func writeJSON(c *fasthttp.RequestCtx, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
 		status = fasthttp.StatusInternalServerError
@@ -93,10 +95,10 @@
 	c.SetBody(data)
 }
 
-// refuse writes the refusal that err describes.
-func refuse(c *fasthttp.RequestCtx, id string, err error) {
+// writeRefusal writes err as a refusal, with the HTTP status of its kind.
+func writeRefusal(c *fasthttp.RequestCtx, id string, err error) {
 	e := refusal.Of(err)
 	a := refusal.For(e.Kind())
 	meter.Refused("entry", e.Kind())
-	send(c, a.Status(), refusalReply{ID: id, Kind: e.Kind(), Ran: e.Ran(), Retry: a.Retry(), Detail: e.Detail()})
+	writeJSON(c, a.Status(), refusalReply{ID: id, Kind: e.Kind(), Ran: e.Ran(), Retry: a.Retry(), Detail: e.Detail()})
 }
