--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -92,7 +92,7 @@
 			// request may have expired.
 			return outcomeUnknown(e.Detail())
 		}
-		return a.e.pollOutcome(ctx, h, once.AskHome(a.r.owner, a.r.id))
+		return a.e.pollOutcome(ctx, h, once.NewHomeQuery(a.r.owner, a.r.id))
 	}
 	a.e.reachability.recordSuccess(h)
 	res, n := findResult(results, r)
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -24,13 +24,13 @@
 	if !ok {
 		return outcomeUnknown("incarnation in the ticket is not a member of the cell")
 	}
-	return e.pollOutcome(ctx, h, once.AskEntry(r.ticket.issued, r.owner, r.id))
+	return e.pollOutcome(ctx, h, once.NewEntryQuery(r.ticket.issued, r.owner, r.id))
 }
 
 // pollOutcome asks h for the outcome of a request until the request has finished
 // there. If h does not know the identifier, it bars it, so the outcome "not run"
 // is final.
-func (e *Entry) pollOutcome(ctx context.Context, h Home, q once.Question) once.Outcome {
+func (e *Entry) pollOutcome(ctx context.Context, h Home, q once.OutcomeQuery) once.Outcome {
 	for pause := minPollPause; ; pause = min(2*pause, maxPollPause) {
 		reply, err := e.fleet.Outcome(ctx, h, &peerpb.OutcomeRequest{Id: q.String(), Incarnation: h.Incarnation()})
 		if err != nil && ctx.Err() == nil {
--- a/once/guard.go
+++ b/once/guard.go
@@ -8,29 +8,31 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// Guard is the home's side: it runs each relayed non-idempotent request at most
-// once.
+// Guard executes the requests that are relayed to a home. It runs each
+// non-idempotent request at most once.
 type Guard struct {
-	t  *Table
-	do func(context.Context, shard.Request) shard.Result
+	t   *Table
+	run func(context.Context, shard.Request) shard.Result
 }
 
-// NewGuard returns a Guard that runs requests with do and records them in t.
-func NewGuard(t *Table, do func(context.Context, shard.Request) shard.Result) *Guard {
-	return &Guard{t: t, do: do}
+// NewGuard returns a Guard that executes requests with run and records them in t.
+func NewGuard(t *Table, run func(context.Context, shard.Request) shard.Result) *Guard {
+	return &Guard{t: t, run: run}
 }
 
-// Do runs r. Idempotent requests pass.
+// Do executes r and returns its result. If r is a copy of an earlier non-idempotent
+// request, Do returns the outcome of that request. Idempotent requests are not
+// recorded.
 func (g *Guard) Do(ctx context.Context, r shard.Request) shard.Result {
 	if r.Idempotent() {
-		return g.do(ctx, r)
+		return g.run(ctx, r)
 	}
 	rec, state := g.t.Begin(r.Owner(), r.ID(), r.Fingerprint())
 	switch state {
 	case Full:
 		return result(r, Refused(refusal.New(refusal.Overloaded, "identifier table is full")))
 	case Reused:
-		return result(r, Refused(refusal.New(refusal.Malformed, "identifier was used for another request").WithRan(refusal.NotRun)))
+		return result(r, Refused(refusal.New(refusal.Malformed, "identifier was already used for another request").WithRan(refusal.NotRun)))
 	case Seen:
 		meter.Count("once.home.resent", 1)
 		select {
@@ -40,18 +42,19 @@
 			return result(r, Refused(refusal.New(refusal.OutcomeUnknown, "request is still running")))
 		}
 	}
-	// Bars the identifier for good if do panics.
-	o := Refused(refusal.New(refusal.OutcomeUnknown, "home failed"))
+	// Stays the outcome if run panics, so that the identifier cannot run again.
+	o := Refused(refusal.New(refusal.OutcomeUnknown, "home failed before the outcome was known"))
 	defer func() {
-		// The entry may send it here again once it knows that it did not run.
-		// It asks for the outcome, which bars the identifier, when it does not.
+		// An entry that gets "not run" may send the request to this home again.
+		// An entry that gets no reply asks for the outcome, which bars the
+		// identifier.
 		if o.ran == refusal.NotRun {
 			rec.Forget(o)
 			return
 		}
 		rec.Finish(o)
 	}()
-	res := g.do(ctx, r)
+	res := g.run(ctx, r)
 	o = outcomeOf(res)
 	return res
 }
--- a/once/record.go
+++ b/once/record.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Record is one identifier in a Table.
+// Record is the entry of one identifier in a Table.
 type Record struct {
 	t           *Table
 	key         string
@@ -13,17 +13,18 @@
 	expires     time.Duration // Boot time, set before done is closed.
 }
 
-// Finish records the outcome. Only the holder of a Fresh record calls it, once.
+// Finish records the outcome. Only the caller that got the record as Fresh may call
+// it, and only once.
 func (r *Record) Finish(o Outcome) { r.t.finish(r, o) }
 
-// Forget ends the record with an outcome that is "not run" and forgets the
-// identifier, so that its sender may send it again.
+// Forget finishes the record with the outcome "not run" and removes the identifier
+// from the table, so that it may be sent again.
 func (r *Record) Forget(o Outcome) { r.t.forget(r, o) }
 
-// Done is closed when the outcome is known.
+// Done returns a channel that is closed when the outcome is known.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// Outcome returns the outcome; ok is false while the request is running.
+// Outcome returns the outcome. The result ok is false while the request is running.
 func (r *Record) Outcome() (o Outcome, ok bool) {
 	select {
 	case <-r.done:
--- a/once/responder.go
+++ b/once/responder.go
@@ -8,36 +8,37 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Responder answers Outcome calls of other daemons.
+// Responder answers Outcome calls from other daemons.
 type Responder struct {
 	incarnation string
 	now         func() time.Time
-	tables      map[Side]*Table
+	tables      map[Role]*Table
 }
 
-// NewResponder returns a Responder of a daemon incarnation with its two tables. The
-// function is the clock that tickets are issued with.
+// NewResponder returns a Responder for the tables of a daemon incarnation. The
+// function now must be the clock with which the daemon issues tickets.
 func NewResponder(incarnation string, now func() time.Time, entry, home *Table) *Responder {
-	return &Responder{incarnation: incarnation, now: now, tables: map[Side]*Table{Entry: entry, Home: home}}
+	return &Responder{incarnation: incarnation, now: now, tables: map[Role]*Table{Entry: entry, Home: home}}
 }
 
-// Outcome answers one call. An identifier that was never seen is barred.
+// Outcome answers one call. It bars an identifier that the table does not hold. If
+// the record may have expired, or the table is full, the outcome is unknown.
 func (r *Responder) Outcome(in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
 	if in.Incarnation != r.incarnation {
 		return &peerpb.OutcomeReply{WrongIncarnation: true}, nil
 	}
-	q, err := parseQuestion(in.Id)
+	q, err := parseOutcomeQuery(in.Id)
 	if err != nil {
 		return nil, err
 	}
 	meter.Count("once.asked", 1)
-	t := r.tables[q.side]
+	t := r.tables[q.role]
 	if !q.issued.IsZero() && r.now().Sub(q.issued) >= t.Window() && t.Find(q.owner, q.id) == nil {
-		return unproved(refusal.TicketExpired, "the request's record may have expired"), nil
+		return unknownOutcome(refusal.TicketExpired, "the request's record may have expired"), nil
 	}
-	record, known := t.Bar(q.owner, q.id)
+	record, known := t.FindOrBar(q.owner, q.id)
 	if record == nil {
-		return unproved(refusal.OutcomeUnknown, "identifier table is full"), nil
+		return unknownOutcome(refusal.OutcomeUnknown, "identifier table is full"), nil
 	}
 	o, finished := record.Outcome()
 	return &peerpb.OutcomeReply{
@@ -45,7 +46,7 @@
 	}, nil
 }
 
-func unproved(kind refusal.Kind, detail string) *peerpb.OutcomeReply {
+func unknownOutcome(kind refusal.Kind, detail string) *peerpb.OutcomeReply {
 	return &peerpb.OutcomeReply{
 		Known: true, Finished: true, Kind: string(kind), Ran: string(refusal.Unknown), Detail: detail,
 	}
--- a/once/state.go
+++ b/once/state.go
@@ -1,17 +1,17 @@
 package once
 
-// State is what Begin found.
+// State is the result of Begin for an identifier.
 type State int
 
-// The states.
+// States of an identifier.
 const (
-	// Fresh is an identifier seen for the first time: the caller of Begin runs
-	// the request and calls Finish.
+	// Fresh means that the identifier is new. The caller of Begin must execute
+	// the request and finish the record.
 	Fresh State = iota
-	// Seen is an identifier that is running or has an outcome.
+	// Seen means that a request with the identifier is running or has an outcome.
 	Seen
-	// Reused is an identifier that was used for another request.
+	// Reused means that the identifier was used for another request.
 	Reused
-	// Full means that the table has no room. Nothing was recorded.
+	// Full means that the table has no room for the owner. Nothing was recorded.
 	Full
 )
--- a/once/table.go
+++ b/once/table.go
@@ -10,53 +10,55 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Defaults of a Table.
+// Default limits of a Table.
 const (
-	// Window is the time for which identifiers are kept after their outcome and
-	// for which tickets are valid.
+	// Window is how long a record is kept after its outcome, and how long a
+	// ticket is valid after its issue.
 	Window = 10 * time.Minute
-	// defaultRecords is about 12 MB of records without bodies.
-	defaultRecords = 65536
-	// defaultBytes bounds the bodies that are kept.
-	defaultBytes = 16 << 20
-	// ownerShare is the part of the table that one owner may fill.
+	// defaultMaxRecords records take about 12 MB without their bodies.
+	defaultMaxRecords = 65536
+	// defaultMaxBytes limits the total size of the recorded bodies.
+	defaultMaxBytes = 16 << 20
+	// ownerShare is the fraction of the records that one owner may use.
 	ownerShare = 0.5
 )
 
-// Table holds the identifiers that one daemon incarnation has seen. It is
-// bounded in records and bytes.
+// Table holds the identifiers that one daemon incarnation has received, with their
+// outcomes. The number of records and the size of the bodies are limited. A Table
+// is safe for concurrent use.
 type Table struct {
-	clk     clock.Clock
-	window  time.Duration
-	records int
-	bytes   int
-
-	mu      sync.Mutex
-	byKey   map[string]*Record
-	byOwner map[string]int
-	ended   []*Record // In order of expiry.
-	held    int       // Bytes of bodies in byKey.
+	clk        clock.Clock
+	window     time.Duration
+	maxRecords int
+	maxBytes   int
+
+	mu          sync.Mutex
+	byKey       map[string]*Record
+	byOwner     map[string]int
+	expiryQueue []*Record // Finished records in order of expiry.
+	bodyBytes   int       // Total size of the bodies of the records in byKey.
 }
 
-// Option changes how NewTable builds a Table.
+// Option configures a Table that NewTable creates.
 type Option func(*Table)
 
 // WithClock replaces the system clock.
 func WithClock(c clock.Clock) Option { return func(t *Table) { t.clk = c } }
 
-// WithWindow replaces Window.
+// WithWindow sets the retention time of records and the validity of tickets. The
+// default is Window.
 func WithWindow(d time.Duration) Option { return func(t *Table) { t.window = d } }
 
-// WithRecords sets the highest number of records.
-func WithRecords(n int) Option { return func(t *Table) { t.records = n } }
+// WithRecords sets the maximum number of records.
+func WithRecords(n int) Option { return func(t *Table) { t.maxRecords = n } }
 
-// WithBytes sets the number of body bytes from which no new record is accepted.
-func WithBytes(n int) Option { return func(t *Table) { t.bytes = n } }
+// WithBytes sets the total size of bodies, in bytes, at which the table is full.
+func WithBytes(n int) Option { return func(t *Table) { t.maxBytes = n } }
 
 // NewTable returns an empty Table.
 func NewTable(opts ...Option) *Table {
 	t := &Table{
-		clk: clock.System{}, window: Window, records: defaultRecords, bytes: defaultBytes,
+		clk: clock.System{}, window: Window, maxRecords: defaultMaxRecords, maxBytes: defaultMaxBytes,
 		byKey: make(map[string]*Record), byOwner: make(map[string]int),
 	}
 	for _, o := range opts {
@@ -65,7 +67,7 @@
 	return t
 }
 
-// Window is the time for which identifiers are kept.
+// Window returns how long a record is kept after its outcome.
 func (t *Table) Window() time.Duration { return t.window }
 
 // Len returns the number of records.
@@ -75,11 +77,13 @@
 	return len(t.byKey)
 }
 
-// Key joins owner and identifier. Neither contains a space.
+// Key returns the table key of an identifier. Neither owner nor identifier contains
+// a space.
 func Key(owner, id string) string { return owner + " " + id }
 
-// Begin finds or creates the record of an identifier. The fingerprint is the
-// hash of the request.
+// Begin returns the record of an identifier and creates it if there is none. The
+// record is nil for the states Reused and Full. The fingerprint is the hash of the
+// request, by which Begin detects an identifier that is used for another request.
 func (t *Table) Begin(owner, id string, fingerprint uint64) (*Record, State) {
 	key := Key(owner, id)
 	t.mu.Lock()
@@ -99,7 +103,7 @@
 	return t.addLocked(key, owner, fingerprint), Fresh
 }
 
-// Find returns the record of an identifier, nil when it is unknown.
+// Find returns the record of an identifier, or nil if there is none.
 func (t *Table) Find(owner, id string) *Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,10 +111,10 @@
 	return t.byKey[Key(owner, id)]
 }
 
-// Bar returns the record of an identifier. An unknown identifier is barred: it
-// is recorded as not run, so that it never runs. The result is nil when the
-// table is full.
-func (t *Table) Bar(owner, id string) (r *Record, known bool) {
+// FindOrBar returns the record of an identifier; known is true if there was one.
+// Otherwise it bars the identifier: it records the outcome "not run", so that a
+// request that arrives later does not run. The record is nil if the table is full.
+func (t *Table) FindOrBar(owner, id string) (r *Record, known bool) {
 	key := Key(owner, id)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,8 +133,8 @@
 }
 
 func (t *Table) fullLocked(owner string) bool {
-	return len(t.byKey) >= t.records || t.held >= t.bytes ||
-		float64(t.byOwner[owner]) >= ownerShare*float64(t.records)
+	return len(t.byKey) >= t.maxRecords || t.bodyBytes >= t.maxBytes ||
+		float64(t.byOwner[owner]) >= ownerShare*float64(t.maxRecords)
 }
 
 func (t *Table) addLocked(key, owner string, fingerprint uint64) *Record {
@@ -147,7 +151,7 @@
 }
 
 func (t *Table) forget(r *Record, o Outcome) {
-	invariant.Check("once.forget_not_run", o.ran == refusal.NotRun, "identifier %q is forgotten after %s", r.key, o.ran)
+	invariant.Check("once.forget_not_run", o.ran == refusal.NotRun, "record of identifier %q is removed although it has the outcome %s", r.key, o.ran)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r.outcome = o
@@ -163,25 +167,25 @@
 }
 
 func (t *Table) finishLocked(r *Record, o Outcome) {
-	if _, ended := r.Outcome(); !invariant.Check("once.one_outcome", !ended, "identifier %q ends twice", r.key) {
+	if _, ended := r.Outcome(); !invariant.Check("once.one_outcome", !ended, "identifier %q got a second outcome", r.key) {
 		return
 	}
 	r.outcome, r.expires = o, t.clk.Boot()+t.window
-	t.held += len(o.body)
-	t.ended = append(t.ended, r)
+	t.bodyBytes += len(o.body)
+	t.expiryQueue = append(t.expiryQueue, r)
 	close(r.done)
 }
 
 func (t *Table) expireLocked() {
 	now := t.clk.Boot()
 	n := 0
-	for n < len(t.ended) && t.ended[n].expires <= now {
-		r := t.ended[n]
-		t.held -= len(r.outcome.body)
+	for n < len(t.expiryQueue) && t.expiryQueue[n].expires <= now {
+		r := t.expiryQueue[n]
+		t.bodyBytes -= len(r.outcome.body)
 		t.removeLocked(r)
-		t.ended[n] = nil
+		t.expiryQueue[n] = nil
 		n++
 	}
-	t.ended = t.ended[n:]
-	invariant.Check("once.bounded", len(t.byKey) <= t.records, "table has %d records of %d", len(t.byKey), t.records)
+	t.expiryQueue = t.expiryQueue[n:]
+	invariant.Check("once.bounded", len(t.byKey) <= t.maxRecords, "table has %d records, the limit is %d", len(t.byKey), t.maxRecords)
 }
