--- a/entry/cutoffs.go
+++ b/entry/cutoffs.go
@@ -14,7 +14,8 @@
 type ticketCutoffs struct {
 	mu    sync.Mutex
 	times map[string]time.Time
-	// allOwners is the cutoff of every owner. It is set when times is full.
+	// allOwners is the cutoff of every owner. It is set when
+	// times is full and has to be cleared.
 	allOwners time.Time
 }
 
--- a/entry/failover_test.go
+++ b/entry/failover_test.go
@@ -86,7 +86,7 @@
 			if took := time.Since(began); k == 1 && took >= maxSilence {
 				t.Errorf("second query took %v", took)
 			}
-			ids := make(map[string]string) // Identifier to group and home.
+			ids := make(map[string]string) // Group and identifier to group and home.
 			for _, s := range takeSent() {
 				if key := s.group + s.home; ids[s.group+s.id] != "" && ids[s.group+s.id] != key {
 					t.Errorf("%s: %+v has the identifier of another send", id, s)
--- a/entry/fakecluster_test.go
+++ b/entry/fakecluster_test.go
@@ -140,7 +140,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.faultless {
-		return n - 1
+		return n - 1 // Selects no fault.
 	}
 	return c.rng.IntN(n)
 }
--- a/entry/fanoutresult.go
+++ b/entry/fanoutresult.go
@@ -6,8 +6,7 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// countMayHaveRun returns the number of subqueries that a restart may run a second
-// time.
+// countMayHaveRun returns the number of subqueries that ran or may have run.
 func (f *fanout) countMayHaveRun() int {
 	n := 0
 	for i := range f.p.subqueries {
--- a/entry/layout.go
+++ b/entry/layout.go
@@ -16,8 +16,8 @@
 	groups []string
 }
 
-// layouts caches the layout of each service of one catalogue generation. To list
-// the groups of 130 shards costs more than to plan a query.
+// layouts caches the layout of each service of one catalogue generation. Listing
+// the groups of 130 shards costs more than planning a query.
 type layouts struct {
 	mu         sync.RWMutex
 	generation uint64
--- a/entry/merge.go
+++ b/entry/merge.go
@@ -57,14 +57,14 @@
 	slices.SortFunc(accepted, func(a, b *subquery) int {
 		return cmp.Compare(a.result.Label().Low(), b.result.Label().Low())
 	})
-	var widest *subquery
+	var highest *subquery
 	var overlapping []*subquery
 	for _, sq := range accepted {
-		if widest != nil && sq.result.Label().Low() < widest.result.Label().High() {
-			overlapping = append(overlapping, widest, sq)
+		if highest != nil && sq.result.Label().Low() < highest.result.Label().High() {
+			overlapping = append(overlapping, highest, sq)
 		}
-		if widest == nil || sq.result.Label().High() > widest.result.Label().High() {
-			widest = sq
+		if highest == nil || sq.result.Label().High() > highest.result.Label().High() {
+			highest = sq
 		}
 	}
 	for _, sq := range overlapping {
--- a/entry/run.go
+++ b/entry/run.go
@@ -81,7 +81,7 @@
 		meter.Count("entry.run_resent", 1)
 	case once.Fresh:
 		if e.cutoffs.rejects(r.owner, r.ticket.issued) {
-			rec.Finish(once.Refused(refusal.New(refusal.TicketExpired, "ticket is from before an overload")))
+			rec.Finish(once.Refused(refusal.New(refusal.TicketExpired, "ticket was issued before the identifier table was full")))
 			break
 		}
 		go e.execute(rec, r, deadline)
@@ -107,7 +107,7 @@
 		// The request may have run, and its record may have expired since.
 		return refusal.New(refusal.TicketExpired, "ticket is %v old and no longer valid", age).WithRan(refusal.Unknown)
 	case e.cutoffs.rejects(r.owner, r.ticket.issued):
-		return refusal.New(refusal.TicketExpired, "ticket is from before an overload")
+		return refusal.New(refusal.TicketExpired, "ticket was issued before the identifier table was full")
 	}
 	return nil
 }
--- a/entry/search.go
+++ b/entry/search.go
@@ -24,8 +24,8 @@
 	triedVersions []indexVersion
 }
 
-// Search answers a query that arrived at the given boot time. The error is a
-// *refusal.Error.
+// Search answers a query that arrived at the given boot time. Its errors are
+// refusals.
 func (e *Entry) Search(ctx context.Context, q Query, arrived time.Duration) (*Answer, error) {
 	service, generation, release, err := e.accept(&q)
 	if err != nil {
@@ -95,6 +95,8 @@
 	}
 }
 
+// mayRestart reports whether to fan out again with the plan p after the fan-out
+// last. If so, it takes the tokens for the repeated subqueries from the budget.
 func (s *search) mayRestart(ctx context.Context, p *plan, best *Answer, last *fanout, restarts int) bool {
 	covered := 0
 	if best != nil {
--- a/once/doc.go
+++ b/once/doc.go
@@ -5,7 +5,8 @@
 // A request is identified by its owner, its identifier and the incarnation in its
 // ticket. A resend carries the ticket of the first send. An identifier with the
 // outcome "not run" cannot be used again: a delayed copy of the same send must not
-// run after the caller got that outcome.
+// run after the caller got that outcome. Only a home forgets such an identifier,
+// so that the entry may send the request to it again.
 //
 // A daemon has two tables. The entry's table holds the requests whose tickets name
 // this incarnation. The home's table holds the requests that entries relayed to
