--- a/home/apply.go
+++ b/home/apply.go
@@ -6,11 +6,11 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Apply makes the homes agree with the assignment. New work stops at once for
-// groups that are not assigned any more and for searchers that drain, were
-// removed or are in a failure domain out of service; what runs there ends by
-// itself. A group that was released stays released until an assignment without
-// it has been applied.
+// Apply installs an assignment. It stops new work at once for groups that are
+// no longer assigned, and for searchers that drain, were removed or are in a
+// failure domain out of service; requests in flight there run to their end. A
+// released group stays released until an assignment without it has been
+// applied.
 func (s *Set) Apply(a Assignment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,7 +22,7 @@
 		v := s.services[spec.Name()]
 		if v == nil {
 			v = newService(spec)
-			for move, share := range s.shares[spec.Name()] {
+			for move, share := range s.moveShares[spec.Name()] {
 				v.setShare(move, share)
 			}
 			s.services[spec.Name()] = v
@@ -39,9 +39,9 @@
 			s.discard(g)
 		}
 	}
-	for id := range s.adopted {
+	for id := range s.imported {
 		if !listed[id] {
-			delete(s.adopted, id)
+			delete(s.imported, id)
 		}
 	}
 }
@@ -61,15 +61,15 @@
 		s.groups[spec.ID()] = g
 	}
 	g.reconcile(a.Estate(), spec, share)
-	if r, ok := s.adopted[spec.ID()]; ok {
-		delete(s.adopted, spec.ID())
-		if s.clock.Boot()-r.at < adoptionMemory {
-			g.adopt(r.released)
+	if r, ok := s.imported[spec.ID()]; ok {
+		delete(s.imported, spec.ID())
+		if s.clock.Boot()-r.at < importedEstimatesTTL {
+			g.importEstimates(r.released)
 		}
 	}
 }
 
-// discard removes a retired group once nothing is in flight.
+// discard removes a retired group that has no request in flight.
 func (s *Set) discard(g *group) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 }
 
-// reconcile installs the share and the searchers.
+// reconcile installs the share and the searchers of the group.
 func (g *group) reconcile(estate catalogue.Estate, spec catalogue.Group, share lease.Share) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -87,15 +87,15 @@
 		return
 	}
 	g.share = share
-	g.policy = g.service.description().Policy()
-	g.creditsLocked()
+	g.policy = g.service.currentSpec().Policy()
+	g.updateCreditsLocked()
 	kept := make([]*member, 0, len(spec.Searchers()))
 	for _, c := range spec.Searchers() {
-		m := g.take(c)
+		m := g.memberFor(c)
 		m.spec, m.inService = c, estate.InService(c.Domain())
-		m.warmth.coldLimit = max(1, c.ColdLimit())
-		if !m.warmth.warm {
-			m.warmth.allowed = min(m.warmth.allowed, m.warmth.coldLimit)
+		m.warmup.coldLimit = max(1, c.ColdLimit())
+		if !m.warmup.warm {
+			m.warmup.rampLimit = min(m.warmup.rampLimit, m.warmup.coldLimit)
 		}
 		if n := connections(share, c.Connections()); n != m.conns {
 			m.conns = n
@@ -104,40 +104,41 @@
 		kept = append(kept, m)
 	}
 	for _, m := range g.members {
-		g.remove(m)
+		g.removeMember(m)
 	}
 	g.members = kept
 	if share != lease.Acting {
-		g.wake()
+		g.enablePolling()
 	}
-	if g.awake {
+	if g.pollingEnabled {
 		for _, m := range g.members {
-			g.startPolls(m)
+			g.startPolling(m)
 		}
 	}
 	g.dispatch(g.set.clock.Boot())
 }
 
-// take returns the member for a searcher and removes it from the present ones.
-// A searcher at another address is another process.
-func (g *group) take(c *catalogue.Searcher) *member {
+// memberFor returns the member for a searcher and removes it from g.members. A
+// searcher with another address is another process and gets a new member.
+func (g *group) memberFor(c *catalogue.Searcher) *member {
 	for i, m := range g.members {
 		if m.spec.Name() == c.Name() && m.spec.Address() == c.Address() {
 			g.members = append(g.members[:i:i], g.members[i+1:]...)
 			return m
 		}
 	}
-	return &member{spec: c, target: g.set.dial(c), warmth: newWarmth(c.ColdLimit())}
+	return &member{spec: c, target: g.set.newTarget(c), warmup: newWarmup(c.ColdLimit())}
 }
 
-// remove stops new work for a searcher; its connections close when it is idle.
-func (g *group) remove(m *member) {
+// removeMember stops new work for a searcher. Its connections close once it has
+// no request in flight.
+func (g *group) removeMember(m *member) {
 	m.removed = true
-	if m.poll != nil {
-		m.poll.Stop()
+	if m.pollTimer != nil {
+		m.pollTimer.Stop()
 	}
-	g.gone = append(g.gone, m)
-	g.settle()
+	g.removedMembers = append(g.removedMembers, m)
+	g.cleanUpIdle()
 }
 
 // retire stops new work for the group.
@@ -145,17 +146,17 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.share = lease.None
-	g.flush()
+	g.refuseQueued()
 }
 
-// flush refuses everything that waits. Tasks that wait only to be sent a second
-// time keep their running attempt.
-func (g *group) flush() {
-	for _, l := range g.queue.order() {
+// refuseQueued refuses all waiting tasks. A task that waits only for a hedge or
+// a resend keeps its running attempt.
+func (g *group) refuseQueued() {
+	for _, l := range g.queue.nextRound() {
 		for l.first != nil {
 			t := l.first
 			l.remove(t)
-			t.hedging, t.silent = false, nil
+			t.hedgePending, t.silentAttempt = false, nil
 			if len(t.running) == 0 {
 				g.refuse(t, refusal.New(refusal.NotHome, "daemon is no longer home of group %s", g.id))
 			}
@@ -163,15 +164,15 @@
 	}
 }
 
-// updateCredits installs changed shares of moves.
+// updateCredits installs the current shares of the moves.
 func (g *group) updateCredits() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.creditsLocked()
+	g.updateCreditsLocked()
 	g.dispatch(g.set.clock.Boot())
 }
 
-func (g *group) creditsLocked() {
+func (g *group) updateCreditsLocked() {
 	old := g.credits
 	g.credits = nil
 	for _, m := range g.service.moves() {
--- a/home/assignment.go
+++ b/home/assignment.go
@@ -9,8 +9,8 @@
 type AssignmentSpec struct {
 	// Estate is the catalogue in force.
 	Estate catalogue.Estate
-	// Shares gives the share of each group, by group id, that this daemon is
-	// home or acting home of.
+	// Shares maps the id of each group that this daemon serves, as home or
+	// acting home, to its share.
 	Shares map[string]lease.Share
 }
 
--- a/home/bench_test.go
+++ b/home/bench_test.go
@@ -12,40 +12,42 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// benchSizes are numbers of searchers in a group, and waiting tasks per searcher.
+// benchSizes are the numbers of searchers in a group; BenchmarkQueue uses them
+// for the length of the queue.
 var benchSizes = []int{2, 4, 8, 16}
 
-// BenchmarkPick measures one choice among the searchers of a group.
+// BenchmarkPick measures one selection among the searchers of a group.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			y := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: n, slots: 2, daemons: 1, policy: catalogue.Current})
-			y.c.run(time.Second)
-			g := y.sets[0].group(y.group(0))
+			fx := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: n, slots: 2, daemons: 1, policy: catalogue.Current})
+			fx.clk.run(time.Second)
+			g := fx.sets[0].group(fx.group(0))
 			t := &task{req: shard.NewRequest(shard.RequestSpec{Idempotent: true, Snapshot: 1})}
 			b.ReportAllocs()
 			for b.Loop() {
-				if g.pick(t, y.c.now) == nil {
-					b.Fatal("no searcher was picked")
+				if g.pick(t, fx.clk.now) == nil {
+					b.Fatal("pick returned no searcher")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkQueue measures a round over a queue that cannot be served.
+// BenchmarkQueue measures a dispatch round over a queue while no searcher has a
+// free slot.
 func BenchmarkQueue(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			y := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
-			y.c.run(time.Second)
+			fx := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
+			fx.clk.run(time.Second)
 			for range 4 + 2*n {
-				y.send(0, shard.RequestSpec{Idempotent: true, Snapshot: 1}, func(shard.Result) {})
+				fx.send(0, shard.RequestSpec{Idempotent: true, Snapshot: 1}, func(shard.Result) {})
 			}
-			g := y.sets[0].group(y.group(0))
+			g := fx.sets[0].group(fx.group(0))
 			b.ReportAllocs()
 			for b.Loop() {
-				g.dispatch(y.c.now)
+				g.dispatch(fx.clk.now)
 			}
 			if g.queue.len() < n {
 				b.Fatalf("%d tasks wait", g.queue.len())
@@ -54,21 +56,21 @@
 	}
 }
 
-// BenchmarkDo measures a whole request at its home, with a searcher that
-// answers at once.
+// BenchmarkDo measures a complete request at its home, with a searcher that
+// replies at once.
 func BenchmarkDo(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			y := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: n, slots: 16, daemons: 1, policy: catalogue.Current})
+			fx := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: n, slots: 16, daemons: 1, policy: catalogue.Current})
 			s := NewSet(WithTargets(instantTarget))
 			defer s.Close()
-			s.Apply(NewAssignment(AssignmentSpec{Estate: y.estate(), Shares: map[string]lease.Share{y.group(0): lease.Full}}))
+			s.Apply(NewAssignment(AssignmentSpec{Estate: fx.estate(), Shares: map[string]lease.Share{fx.group(0): lease.Full}}))
 			deadline := s.clock.Boot() + time.Hour
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					req := shard.NewRequest(shard.RequestSpec{
-						ID: "q", Service: "svc", Group: y.group(0), Idempotent: true, Snapshot: 1, Deadline: deadline,
+						ID: "q", Service: "svc", Group: fx.group(0), Idempotent: true, Snapshot: 1, Deadline: deadline,
 					})
 					if r := s.Do(b.Context(), req); r.Kind() != refusal.None {
 						b.Error(r.Kind(), r.Detail())
--- a/home/cold_test.go
+++ b/home/cold_test.go
@@ -10,69 +10,70 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-func newPair(seed uint64, prepare func(y *fixture)) *fixture {
-	y := newFixture(fixtureSpec{seed: seed, shards: 1, replicas: 2, slots: 4, daemons: 1, policy: catalogue.Current})
-	prepare(y)
-	y.c.run(time.Second)
-	return y
+func newTwoReplicas(seed uint64, prepare func(fx *fixture)) *fixture {
+	fx := newFixture(fixtureSpec{seed: seed, shards: 1, replicas: 2, slots: 4, daemons: 1, policy: catalogue.Current})
+	prepare(fx)
+	fx.clk.run(time.Second)
+	return fx
 }
 
-// coldSeeds is the number of seeds of each test; a searcher that is ramped up by
-// chance shows in some of them only.
+// coldSeeds is the number of seeds of each test. A searcher whose limit grows
+// by chance shows with some seeds only.
 const coldSeeds = 20
 
-// Guards against a searcher that is ramped up although it is still cold, because
-// its health claims otherwise and every reply, slow as it is, counts as success.
+// Guards against a limit that grows for a searcher that is still cold, because
+// its health reply reports ready and its slow replies count as success.
 func TestColdSearcherThatClaimsReady(t *testing.T) {
 	for seed := range uint64(coldSeeds) {
-		y := newPair(seed, func(y *fixture) {
-			f := y.fakes["s00-0"]
-			f.cold, f.lying, f.coldSlow, f.sheds = true, true, 3, false
+		fx := newTwoReplicas(seed, func(fx *fixture) {
+			f := fx.fakes["s00-0"]
+			f.cold, f.claimsReady, f.coldSlow, f.refusesAboveLimit = true, true, 3, false
 		})
-		y.load(0.6, 10*time.Second)
-		if f := y.fakes["s00-0"]; f.tooMuch > 0 || f.ran == 0 {
-			t.Errorf("seed %d: %d requests above the cold limit, %d within", seed, f.tooMuch, f.ran)
+		fx.load(0.6, 10*time.Second)
+		if f := fx.fakes["s00-0"]; f.aboveColdLimit > 0 || f.ran == 0 {
+			t.Errorf("seed %d: %d requests above the cold limit, %d within", seed, f.aboveColdLimit, f.ran)
 		}
-		y.fakes["s00-0"].cold = false
-		y.load(0.6, 10*time.Second)
-		if s := y.sets[0].Status()[0].Searchers()[0]; s.State() != "warm" {
+		fx.fakes["s00-0"].cold = false
+		fx.load(0.6, 10*time.Second)
+		if s := fx.sets[0].Status()[0].Searchers()[0]; s.State() != "warm" {
 			t.Errorf("seed %d: searcher is %s after its cold start", seed, s.State())
 		}
 	}
 }
 
-// Guards against full load on a searcher that turned cold while it was warm,
-// which neither its health nor a refusal shows.
-func TestSearcherTurnsColdWithoutWarning(t *testing.T) {
+// Guards against full load on a warm searcher that becomes cold when neither
+// its health reply nor a refusal shows it.
+func TestUnannouncedColdStart(t *testing.T) {
 	for seed := range uint64(coldSeeds) {
-		y := newPair(seed, func(*fixture) {})
-		y.load(0.3, 5*time.Second)
-		f := y.fakes["s00-0"]
-		f.cold, f.lying, f.coldSlow, f.sheds = true, true, 5, false
-		y.load(0.3, 10*time.Second)
-		// The replies that show the cold start, and what is in flight by then.
-		if bound := slowReplies + f.spec.Slots(); f.tooMuch > bound {
-			t.Errorf("seed %d: %d requests above the cold limit", seed, f.tooMuch)
+		fx := newTwoReplicas(seed, func(*fixture) {})
+		fx.load(0.3, 5*time.Second)
+		f := fx.fakes["s00-0"]
+		f.cold, f.claimsReady, f.coldSlow, f.refusesAboveLimit = true, true, 5, false
+		fx.load(0.3, 10*time.Second)
+		// The slow replies that detect the cold start, and the requests in
+		// flight by then.
+		if bound := coldScore + f.spec.Slots(); f.aboveColdLimit > bound {
+			t.Errorf("seed %d: %d requests above the cold limit", seed, f.aboveColdLimit)
 		}
-		if y.partial > 0 {
-			t.Errorf("seed %d: %d partial answers", seed, y.partial)
+		if fx.partial > 0 {
+			t.Errorf("seed %d: %d partial answers", seed, fx.partial)
 		}
 	}
 }
 
-// Guards against warm searchers that lose their slots because a pause of the VM
-// delays all replies that are on their way.
-func TestPausesAreNoColdStart(t *testing.T) {
-	y := newFixture(fixtureSpec{seed: 8, shards: 4, replicas: 2, slots: 3, daemons: 1, policy: catalogue.Current})
-	y.c.run(time.Second)
-	y.load(0.3, 5*time.Second)
-	for _, f := range y.fakes {
+// Guards against warm searchers that are marked as cold because a pause of the
+// VM delays all replies in flight.
+func TestVMPauses(t *testing.T) {
+	fx := newFixture(fixtureSpec{seed: 8, shards: 4, replicas: 2, slots: 3, daemons: 1, policy: catalogue.Current})
+	fx.clk.run(time.Second)
+	fx.load(0.3, 5*time.Second)
+	for _, f := range fx.fakes {
 		f.pauses = true
 	}
 	cold := 0
 	for range 100 {
-		y.load(0.3, 100*time.Millisecond)
-		for _, g := range y.sets[0].Status() {
+		fx.load(0.3, 100*time.Millisecond)
+		for _, g := range fx.sets[0].Status() {
 			for _, s := range g.Searchers() {
 				if s.State() != "warm" {
 					cold++
@@ -85,47 +86,47 @@
 	}
 }
 
-// Guards against load on a cold searcher while another home may be using its
-// cold limit.
-func TestColdSearcherGetsNothingBelowFullShare(t *testing.T) {
+// Guards against load on a cold searcher at a reduced share, while another home
+// may be using its cold limit.
+func TestColdSearcherBelowFullShare(t *testing.T) {
 	for _, share := range []lease.Share{lease.Reserved, lease.Acting} {
-		y := newFixture(fixtureSpec{seed: 3, shards: 1, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
-		y.fakes["s00-0"].cold = true
-		y.share = share
-		y.apply()
+		fx := newFixture(fixtureSpec{seed: 3, shards: 1, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
+		fx.fakes["s00-0"].cold = true
+		fx.share = share
+		fx.apply()
 		sent := 0
 		for range 200 {
-			y.send(0, shard.RequestSpec{Idempotent: true, Acting: true}, func(r shard.Result) {
+			fx.send(0, shard.RequestSpec{Idempotent: true, Acting: true}, func(r shard.Result) {
 				if r.Kind() == refusal.None {
 					sent++
 				}
 			})
-			y.c.run(20 * time.Millisecond)
+			fx.clk.run(20 * time.Millisecond)
 		}
-		if f := y.fakes["s00-0"]; f.ran > 0 || sent < 150 {
+		if f := fx.fakes["s00-0"]; f.ran > 0 || sent < 150 {
 			t.Errorf("share %s: cold searcher ran %d, %d of 200 were answered", share, f.ran, sent)
 		}
 	}
 }
 
-// Guards against a wave of refused requests that moves from one cold searcher
-// to the next.
-func TestRefusedWorkStaysOffColdSearchers(t *testing.T) {
-	y := newFixture(fixtureSpec{seed: 4, shards: 1, replicas: 3, slots: 4, daemons: 1, policy: catalogue.Current})
-	y.c.run(time.Second)
-	for _, name := range y.names {
-		// A cold limit of 0 at the searcher refuses everything.
-		y.fakes[name].cold, y.fakes[name].lying, y.fakes[name].refuseAll = true, true, true
+// Guards against retries that move refused requests from one cold searcher to
+// the next.
+func TestColdRefusalRetry(t *testing.T) {
+	fx := newFixture(fixtureSpec{seed: 4, shards: 1, replicas: 3, slots: 4, daemons: 1, policy: catalogue.Current})
+	fx.clk.run(time.Second)
+	for _, name := range fx.names {
+		// A searcher with a cold limit of 0 refuses all requests.
+		fx.fakes[name].cold, fx.fakes[name].claimsReady, fx.fakes[name].refuseAll = true, true, true
 	}
 	kinds := make(map[refusal.Kind]int)
 	attempts := 0
 	for range 50 {
-		y.send(0, shard.RequestSpec{Idempotent: true}, func(r shard.Result) {
+		fx.send(0, shard.RequestSpec{Idempotent: true}, func(r shard.Result) {
 			kinds[r.Kind()]++
 			attempts = max(attempts, r.Attempts())
 		})
 	}
-	y.c.run(2 * time.Second)
+	fx.clk.run(2 * time.Second)
 	if kinds[refusal.None] > 0 || attempts > 1 {
 		t.Errorf("results %v, up to %d attempts", kinds, attempts)
 	}
--- a/home/credit.go
+++ b/home/credit.go
@@ -2,15 +2,16 @@
 
 import "medlaryard.example/medlaryard/invariant"
 
-// canaryShare is the invariant that a version in a move receives no more than
-// its share of the sends of a group.
-const canaryShare invariant.Name = "home.canary_share"
+// canaryShareInvariant requires that the new version of a move receives no more
+// than its share of the sends of a group.
+const canaryShareInvariant invariant.Name = "home.canary_share"
 
-// maxCredit bounds the burst of sends to a new version after it was unusable.
+// maxCredit bounds the burst of sends to a new version after it was not usable.
 const maxCredit = 2
 
-// credit gives a new version its share of the sends of one group. Every send
-// earns the share, a send to the new version costs 1 and needs that much.
+// credit limits a new version to its share of the sends of one group. Every
+// send earns the share; a send to the new version needs and spends a credit of
+// 1.
 type credit struct {
 	move   string
 	from   string // The old version.
@@ -20,14 +21,14 @@
 	earned float64
 	spent  float64
 
-	complete bool // A searcher of the new version has been warm at the full share.
+	newVersionWarm bool // A searcher of the new version has been warm at the full share.
 }
 
-// setShare changes the share. A lower share takes effect at once, without the
-// credit earned before.
+// setShare changes the share. A lower share takes effect at once: the credit
+// earned before is lost.
 func (c *credit) setShare(share float64) {
 	if share < c.share {
-		c.value, c.complete = 0, false
+		c.value, c.newVersionWarm = 0, false
 	}
 	c.share = share
 }
@@ -35,24 +36,28 @@
 // allowed reports whether the next send may go to the new version.
 func (c *credit) allowed() bool { return c.share > 0 && c.value+c.share >= 1 }
 
-// covers reports whether the searcher runs the version, by the catalogue or by
-// its own statement.
-func (c *credit) covers(m *member) bool { return m.spec.Version() == c.to || m.version == c.to }
+// runsNew reports whether the searcher runs the new version, according to the
+// catalogue or to the searcher itself.
+func (c *credit) runsNew(m *member) bool {
+	return m.spec.Version() == c.to || m.reportedVersion == c.to
+}
 
-// leaves reports whether the searcher runs the old version only.
-func (c *credit) leaves(m *member) bool {
-	return (m.spec.Version() == c.from || m.version == c.from) && !c.covers(m)
+// runsOldOnly reports whether the searcher runs the old version and not the new
+// one.
+func (c *credit) runsOldOnly(m *member) bool {
+	return (m.spec.Version() == c.from || m.reportedVersion == c.from) && !c.runsNew(m)
 }
 
-// sent counts a send to the searcher.
-func (c *credit) sent(m *member) {
+// recordSend earns the credit of one send, and spends 1 if it goes to the new
+// version.
+func (c *credit) recordSend(m *member) {
 	c.value += c.share
 	c.earned += c.share
-	if c.covers(m) {
+	if c.runsNew(m) {
 		c.value--
 		c.spent++
-		invariant.Check(canaryShare, c.share > 0 && c.spent <= c.earned+1e-6,
-			"%g sends to version %s, %g allowed", c.spent, c.to, c.earned)
+		invariant.Check(canaryShareInvariant, c.share > 0 && c.spent <= c.earned+1e-6,
+			"%g sends went to version %s, %g allowed", c.spent, c.to, c.earned)
 	}
 	c.value = min(c.value, maxCredit)
 }
--- a/home/dispatch.go
+++ b/home/dispatch.go
@@ -9,7 +9,7 @@
 	"medlaryard.example/medlaryard/searcher"
 )
 
-// The invariants that hold at every send.
+// Invariants that are checked at every send.
 const (
 	sendLease      invariant.Name = "home.send_within_lease"
 	sendUsable     invariant.Name = "home.send_to_usable_searcher"
@@ -21,45 +21,45 @@
 	sendAfterReply invariant.Name = "home.no_send_after_result"
 )
 
-// maxLooked bounds the waiting tasks that one round looks at. A round looks
-// past the first task only while a slower searcher has room, so the bound need
-// not cover a whole queue.
-const maxLooked = 64
+// maxScanned bounds the waiting tasks that one dispatch round examines. A round
+// goes past the first task only while a slower searcher has room, so the bound
+// need not cover a whole queue.
+const maxScanned = 64
 
-// dispatch sends as many waiting tasks as the limits permit. It runs after
-// every event that can make room.
+// dispatch sends as many waiting tasks as the limits allow. It runs after every
+// event that can free capacity.
 func (g *group) dispatch(now time.Duration) {
 	if g.queue.len() == 0 {
 		return
 	}
-	if !g.open() {
-		g.flush()
+	if !g.maySend() {
+		g.refuseQueued()
 		return
 	}
 	for _, m := range g.members {
-		m.virtual = 0
+		m.planned = 0
 	}
-	looked := 0
-	for _, l := range g.queue.order() {
-		for t := l.first; t != nil && looked < maxLooked; looked++ {
+	scanned := 0
+	for _, l := range g.queue.nextRound() {
+		for t := l.first; t != nil && scanned < maxScanned; scanned++ {
 			next := t.next
-			g.consider(t, now)
+			g.dispatchTask(t, now)
 			t = next
 		}
 	}
 }
 
-// consider sends the task, lets it wait or refuses it.
-func (g *group) consider(t *task, now time.Duration) {
+// dispatchTask sends the task, leaves it queued or refuses it.
+func (g *group) dispatchTask(t *task, now time.Duration) {
 	switch {
-	case t.silent != nil:
-		g.considerSilent(t)
+	case t.silentAttempt != nil:
+		g.replaceSilent(t)
 		return
-	case t.hedging:
-		g.considerHedge(t, now)
+	case t.hedgePending:
+		g.dispatchHedge(t, now)
 		return
 	}
-	if e := g.hopeless(t); e != nil {
+	if e := g.unservable(t); e != nil {
 		g.refuse(t, e)
 		return
 	}
@@ -67,44 +67,44 @@
 	if m == nil {
 		return
 	}
-	if m.virtual >= g.room(m, now) {
-		m.virtual++
+	if m.planned >= g.freeCapacity(m, now) {
+		m.planned++
 		return
 	}
-	paid := t.extra()
-	if paid && !t.prepaid && !g.service.budget.take(0) {
-		g.starve(t)
-		return // The next arrivals earn a token.
+	usesToken := t.needsToken()
+	if usesToken && !t.hasToken && !g.service.budget.spend(0) {
+		g.awaitToken(t)
+		return // Later requests earn the token.
 	}
 	g.queue.remove(t)
-	t.sated()
-	t.prepaid = false
-	g.send(t, m, now, paid)
+	t.stopTokenWait()
+	t.hasToken = false
+	g.send(t, m, now, usesToken)
 }
 
-// send starts an attempt. All sends pass here, and every promise about them is
-// checked here.
-func (g *group) send(t *task, m *member, now time.Duration, paid bool) {
-	end := g.set.leaseEnd() // Read once, because another goroutine may change it.
+// send starts an attempt. All sends go through this function, which checks
+// their invariants.
+func (g *group) send(t *task, m *member, now time.Duration, usesToken bool) {
+	end := g.set.leaseEnd() // Read once: another goroutine may change it.
 	if end <= now {
-		g.unleased(t, paid)
+		g.handleLeaseExpired(t, usesToken)
 		return
 	}
-	invariant.Check(sendLease, g.open() && now < end, "group %s has share %s", g.id, g.share)
-	invariant.Check(sendUsable, m.usable(), "searcher %s of group %s", m.spec.Name(), g.id)
+	invariant.Check(sendLease, g.maySend() && now < end, "group %s sends at share %s without a valid lease", g.id, g.share)
+	invariant.Check(sendUsable, m.usable(), "searcher %s of group %s is not usable", m.spec.Name(), g.id)
 	invariant.Check(sendLimit, m.inflight < m.limit(g.share) && m.inflight < m.slots(),
-		"searcher %s runs %d of %d", m.spec.Name(), m.inflight, m.limit(g.share))
-	invariant.Check(sendColdShare, g.share == lease.Full || !m.warmth.evident,
+		"searcher %s has %d requests in flight, limit is %d", m.spec.Name(), m.inflight, m.limit(g.share))
+	invariant.Check(sendColdShare, g.share == lease.Full || !m.warmup.knownCold,
 		"searcher %s is cold at share %s", m.spec.Name(), g.share)
-	invariant.Check(sendSnapshot, m.holds(t.req.Snapshot()), "searcher %s, snapshot %d", m.spec.Name(), t.req.Snapshot())
-	invariant.Check(sendOnce, t.req.Idempotent() || t.notRun(), "request %s, outcome so far %s", t.req.ID(), t.ran)
-	invariant.Check(sendSuspect, (!t.req.Suspect() || t.sends == 0) && !t.crashed, "request %s", t.req.ID())
-	invariant.Check(sendAfterReply, !t.done, "request %s", t.req.ID())
+	invariant.Check(sendSnapshot, m.holds(t.req.Snapshot()), "searcher %s does not hold snapshot %d", m.spec.Name(), t.req.Snapshot())
+	invariant.Check(sendOnce, t.req.Idempotent() || t.notRun(), "non-idempotent request %s is sent again, outcome so far %s", t.req.ID(), t.ran)
+	invariant.Check(sendSuspect, (!t.req.Suspect() || t.sends == 0) && !t.crashed, "suspect or crashed request %s is sent again", t.req.ID())
+	invariant.Check(sendAfterReply, !t.done, "request %s is sent after its result", t.req.ID())
 
 	for _, c := range g.credits {
-		c.sent(m)
+		c.recordSend(m)
 	}
-	a := &attempt{t: t, m: m, sent: now, version: m.spec.Version(), first: t.sends == 0, paid: paid, hedge: len(t.running) > 0}
+	a := &attempt{task: t, member: m, sent: now, version: m.spec.Version(), firstSend: t.sends == 0, usesToken: usesToken, hedge: len(t.running) > 0}
 	t.sends++
 	t.running = append(t.running, a)
 	if !t.hasTried(m) {
@@ -113,62 +113,63 @@
 	m.inflight++
 	m.lastSend = now
 	g.inflight++
-	g.turn++
-	if a.first {
+	g.pickOffset++
+	if a.firstSend {
 		g.armHedge(t, now)
 	}
-	a.cancel = m.target.Send(g.call(a, end), func(r searcher.Reply, f *searcher.Failure) { g.ended(a, r, f) })
+	a.cancel = m.target.Send(g.newCall(a, end), func(r searcher.Reply, f *searcher.Failure) { g.handleEnd(a, r, f) })
 }
 
-// unleased ends a task that was to be sent after the lease's end. A hedge is
-// only dropped, because its first attempt was sent in time.
-func (g *group) unleased(t *task, paid bool) {
-	if paid {
+// handleLeaseExpired refuses a task whose send came after the end of the lease.
+// A hedge is only dropped, because the task's first attempt was sent in time.
+func (g *group) handleLeaseExpired(t *task, usesToken bool) {
+	if usesToken {
 		g.service.budget.refund()
 	}
 	if len(t.running) == 0 {
-		g.refuse(t, refusal.New(refusal.NotHome, "the home lease has ended"))
+		g.refuse(t, refusal.New(refusal.NotHome, "lease of the home has expired"))
 	}
 }
 
-// call is the message to the searcher. Its deadline is no later than the end of
-// the lease.
-func (g *group) call(a *attempt, end time.Duration) searcher.Call {
-	req := a.t.req
+// newCall returns the message to the searcher. Its deadline is at most the end
+// of the lease.
+func (g *group) newCall(a *attempt, end time.Duration) searcher.Call {
+	req := a.task.req
 	return searcher.NewCall(searcher.CallSpec{
 		ID:        req.ID(),
 		Shard:     g.shard,
 		Route:     req.Route(),
 		Snapshot:  req.Snapshot(),
 		Limit:     req.Limit(),
-		Announced: a.m.label(req.Snapshot()),
-		Deadline:  min(a.t.deadline, end),
+		Announced: a.member.label(req.Snapshot()),
+		Deadline:  min(a.task.deadline, end),
 		Run:       !req.Idempotent(),
 		Body:      req.Body(),
-		Patience:  g.patience(a.t),
-		Permit:    func() *refusal.Error { return g.permit(a) },
-		OnSilent:  func() { g.silent(a) },
+		Patience:  g.patience(a.task),
+		Permit:    func() *refusal.Error { return g.authorizeSend(a) },
+		OnSilent:  func() { g.handleSilent(a) },
 	})
 }
 
-// permit is asked immediately before the first byte of an attempt is written;
-// since the send was decided a connection had to be made.
-func (g *group) permit(a *attempt) *refusal.Error {
+// authorizeSend checks again whether the attempt may be sent, immediately
+// before its first byte is written. The state may have changed while a
+// connection was being made.
+func (g *group) authorizeSend(a *attempt) *refusal.Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case a.t.done:
-		return refusal.New(refusal.Cancelled, "the result is not awaited any more")
-	case !g.open() || g.leaseOver(g.set.clock.Boot()):
-		return refusal.New(refusal.NotHome, "the home lease has ended")
-	case !a.m.usable():
-		return refusal.New(refusal.NoSearcher, "searcher %s takes no new work", a.m.spec.Name())
+	case a.task.done:
+		return refusal.New(refusal.Cancelled, "request already has a result")
+	case !g.maySend() || g.leaseExpired(g.set.clock.Boot()):
+		return refusal.New(refusal.NotHome, "lease of the home has expired")
+	case !a.member.usable():
+		return refusal.New(refusal.NoSearcher, "searcher %s accepts no new work", a.member.spec.Name())
 	}
 	for _, c := range g.credits {
-		if c.covers(a.m) && c.share == 0 {
-			return refusal.New(refusal.NoSearcher, "version %s was stopped", c.to)
+		if c.runsNew(a.member) && c.share == 0 {
+			return refusal.New(refusal.NoSearcher, "version %s is stopped: its move share is 0", c.to)
 		}
 	}
-	a.count()
+	a.countSend()
 	return nil
 }
--- /dev/null
+++ b/home/errors_test.go
@@ -0,0 +1,98 @@
+package home
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"medlaryard.example/medlaryard/catalogue"
+	"medlaryard.example/medlaryard/refusal"
+	"medlaryard.example/medlaryard/shard"
+)
+
+func newErrorFixture(seed uint64, errors ...float64) *fixture {
+	fx := newFixture(fixtureSpec{seed: seed, shards: 4, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
+	fx.clk.run(time.Second)
+	fx.load(0.3, 10*time.Second)
+	fx.latency, fx.kinds = nil, make(map[refusal.Kind]int)
+	for _, f := range fx.fakes {
+		for j, part := range errors {
+			if f.spec.Name()[4:] == string(rune('0'+j)) {
+				f.errors = part
+			}
+		}
+	}
+	return fx
+}
+
+// Guards against errors of one failure domain that use up the extra budget, so
+// that most queries wait for a retry until their deadline and return incomplete
+// answers.
+func TestErrorsOfOneDomain(t *testing.T) {
+	for seed := range uint64(2) {
+		fx := newErrorFixture(seed, 0.2, 0)
+		fx.load(0.3, 20*time.Second)
+		fx.clk.run(time.Second)
+		full := float64(len(fx.latency)) / float64(len(fx.latency)+fx.partial)
+		slices.Sort(fx.latency)
+		p95 := fx.latency[len(fx.latency)*95/100]
+		t.Logf("seed %d: full coverage %.4f, p95 %v, results %v", seed, full, p95, fx.kinds)
+		if full < 0.98 || p95 > 100*time.Millisecond {
+			t.Errorf("seed %d: full coverage %.3f, p95 %v", seed, full, p95)
+		}
+		bad, healthy := 0, 0
+		for _, f := range fx.fakes {
+			f.errors = 0
+			bad -= f.ran * int('1'-f.spec.Name()[4])
+			healthy -= f.ran * int(f.spec.Name()[4]-'0')
+		}
+		fx.load(0.3, 30*time.Second)
+		for _, f := range fx.fakes {
+			bad += f.ran * int('1'-f.spec.Name()[4])
+			healthy += f.ran * int(f.spec.Name()[4]-'0')
+		}
+		if bad < healthy/3 {
+			t.Errorf("seed %d: %d requests ran on the searchers that failed before, %d on the others", seed, bad, healthy)
+		}
+	}
+}
+
+// Guards against a task that waits for a retry token until its deadline and is
+// then refused for the deadline instead of the error of its last attempt.
+func TestRetryWithoutToken(t *testing.T) {
+	fx := newErrorFixture(1, 0.5, 0.5)
+	var slowest time.Duration
+	early := 0
+	for range 400 {
+		start := fx.clk.now
+		fx.send(0, shard.RequestSpec{ID: "q", Idempotent: true}, func(r shard.Result) {
+			if r.Kind() == refusal.None {
+				return
+			}
+			early++
+			slowest = max(slowest, fx.clk.now-start)
+			if r.Kind() != refusal.SearcherFailed || r.Ran() != refusal.Unknown {
+				t.Errorf("refused as %s, ran %s", r.Kind(), r.Ran())
+			}
+		})
+		fx.clk.run(50 * time.Millisecond)
+	}
+	if early == 0 || slowest > 500*time.Millisecond {
+		t.Errorf("%d refusals, the last after %v of 1s", early, slowest)
+	}
+}
+
+// Guards against homes that spend the entries' part of the extra budget, so
+// that homes and entries together exceed it.
+func TestExtraBudgetOfHomes(t *testing.T) {
+	fx := newErrorFixture(1, 0.5, 0.5)
+	subs, extra := fx.budgetTotals()
+	fx.load(0.3, 20*time.Second)
+	fx.apply() // Installs the budget of the catalogue again.
+	fx.load(0.3, 20*time.Second)
+	after, spent := fx.budgetTotals()
+	// Tokens that were saved before may be spent once.
+	if got, most := spent-extra, 0.8*0.05*float64(after-subs)+maxTokens; float64(got) > most || got == 0 {
+		t.Errorf("%d extra requests, the homes' part is %g", got, most)
+	}
+}
--- a/home/evidence.go
+++ b/home/evidence.go
@@ -6,21 +6,22 @@
 
 // EvidenceSpec holds the values that NewEvidence takes.
 type EvidenceSpec struct {
-	// Service names the service.
+	// Service is the name of the service.
 	Service string
 	// Version is the back-end version.
 	Version string
-	// Route names the kind of request.
+	// Route is the kind of request within the service.
 	Route string
-	// Requests is the number of attempts that the version answered or failed, since the Set was made.
+	// Requests is the number of attempts that ended with a reply or an error since the Set was created.
 	Requests uint64
-	// Errors is the number of those that failed.
+	// Errors is the number of Requests that failed.
 	Errors uint64
-	// Latency holds the latencies of answers in microseconds.
+	// Latency holds the latencies of replies in microseconds.
 	Latency *hdrhistogram.Histogram
 }
 
-// Evidence is what a Set has seen of one version on one route.
+// Evidence holds the request counts and latencies of one version on one route,
+// as observed by a Set.
 type Evidence struct {
 	spec EvidenceSpec
 }
@@ -28,20 +29,20 @@
 // NewEvidence returns the immutable Evidence that spec describes.
 func NewEvidence(spec EvidenceSpec) Evidence { return Evidence{spec: spec} }
 
-// Service names the service.
+// Service is the name of the service.
 func (e Evidence) Service() string { return e.spec.Service }
 
 // Version is the back-end version.
 func (e Evidence) Version() string { return e.spec.Version }
 
-// Route names the kind of request.
+// Route is the kind of request within the service.
 func (e Evidence) Route() string { return e.spec.Route }
 
-// Requests is the number of attempts that the version answered or failed, since the Set was made.
+// Requests is the number of attempts that ended with a reply or an error since the Set was created.
 func (e Evidence) Requests() uint64 { return e.spec.Requests }
 
-// Errors is the number of those that failed.
+// Errors is the number of Requests that failed.
 func (e Evidence) Errors() uint64 { return e.spec.Errors }
 
-// Latency holds the latencies of answers in microseconds. It is a copy.
+// Latency holds the latencies of replies in microseconds. It is a copy.
 func (e Evidence) Latency() *hdrhistogram.Histogram { return e.spec.Latency }
--- a/home/fake_test.go
+++ b/home/fake_test.go
@@ -12,58 +12,59 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// The home of a group runs in the failure domain of one of its searchers.
+// Network delay in one direction. The home of a group runs in the failure
+// domain of one of its searchers.
 const (
-	simNear = 50 * time.Microsecond
-	simFar  = 700 * time.Microsecond
+	nearDelay = 50 * time.Microsecond
+	farDelay  = 700 * time.Microsecond
 )
 
-// fake is a searcher on a simClock. Faults are switched by its fields.
+// fake is a simulated searcher. Tests switch its faults by setting fields.
 type fake struct {
-	c    *simClock
-	r    *rand.Rand
+	clk  *simClock
+	rng  *rand.Rand
 	spec *catalogue.Searcher
 
-	hop        time.Duration // One way from the home.
-	slow       float64       // Factor of the service time.
-	cold       bool
-	coldSlow   float64 // Factor of the service time while cold; 0 is 1.
-	sheds      bool    // Refuses above the cold limit; otherwise it runs and counts them.
-	refuseAll  bool    // Refuses all while cold.
-	lying      bool    // Health claims ready whatever the state.
-	draining   bool
-	silent     bool
-	pauses     bool // Two times a second all replies take 100 ms more.
-	stale      bool // Connections are silent until one was given up.
-	dead       bool
-	poison     string // A request of this route crashes it.
-	wrongLabel bool
-	errors     float64 // Part of the requests that it answers with an error.
-	states     string  // Version that it states; empty is the listed one.
-	boot       int
-	snapshots  []uint64
+	netDelay          time.Duration // Network delay from the home in one direction.
+	slowdown          float64       // Factor of the service time.
+	cold              bool
+	coldSlow          float64 // Factor of the service time while cold; 0 stands for 1.
+	refusesAboveLimit bool    // Refuses requests above the cold limit; otherwise they run. Both are counted in aboveColdLimit.
+	refuseAll         bool    // Refuses all requests while cold.
+	claimsReady       bool    // Health replies always report ready.
+	draining          bool
+	silent            bool
+	pauses            bool // Twice a second all replies are delayed by 100 ms.
+	staleConnections  bool // Established connections are silent until one of them was given up.
+	dead              bool
+	poison            string // A request of this route crashes the searcher.
+	wrongLabel        bool
+	errors            float64 // Fraction of requests that end with an error.
+	reportedVersion   string  // Reported version; empty stands for the version in the catalogue.
+	boot              int
+	snapshots         []uint64
 
-	running  int
-	ran      int // Requests started.
-	tooMuch  int // Requests that arrived in a cold start above the cold limit.
-	lateWork int // Requests 3 s after the start of a drain or later, which its health admits.
-	drainAt  time.Duration
-	runs     map[string]int // Starts by request, shared by all fakes of a fixture.
-	calls    map[*fakeCall]struct{}
+	running        int
+	ran            int // Requests that started to run.
+	aboveColdLimit int // Requests that arrived above the cold limit during a cold start.
+	afterDrain     int // Requests that arrived more than 3 s after the start of a drain that the health replies report.
+	drainAt        time.Duration
+	runs           map[string]int // Starts by request id, shared by all fakes of a fixture.
+	calls          map[*fakeCall]struct{}
 }
 
 type fakeCall struct {
-	f        *fake
-	call     searcher.Call
-	done     func(searcher.Reply, *searcher.Failure)
-	runs     bool
-	tested   bool
-	patience clock.Timer
-	late     clock.Timer // Ends the call at its deadline.
+	f             *fake
+	call          searcher.Call
+	done          func(searcher.Reply, *searcher.Failure)
+	running       bool
+	probed        bool
+	patience      clock.Timer
+	deadlineTimer clock.Timer // Ends the call at its deadline.
 }
 
 func newFake(c *simClock, r *rand.Rand, spec *catalogue.Searcher, runs map[string]int) *fake {
-	return &fake{c: c, r: r, spec: spec, hop: simFar, slow: 1, boot: 1, sheds: true, snapshots: []uint64{1}, runs: runs, calls: make(map[*fakeCall]struct{})}
+	return &fake{clk: c, rng: r, spec: spec, netDelay: farDelay, slowdown: 1, boot: 1, refusesAboveLimit: true, snapshots: []uint64{1}, runs: runs, calls: make(map[*fakeCall]struct{})}
 }
 
 func (f *fake) target() *searcher.Target {
@@ -81,14 +82,14 @@
 }
 
 func (f *fake) health(done func(searcher.Health, *searcher.Failure)) {
-	f.c.AfterFunc(2*f.hop, func() {
+	f.clk.AfterFunc(2*f.netDelay, func() {
 		if f.dead || f.silent {
 			done(searcher.Health{}, searcher.NewFailure(searcher.FaultConnect, refusal.New(refusal.SearcherFailed, "fake")))
 			return
 		}
 		state := searcher.Ready
 		switch {
-		case f.lying:
+		case f.claimsReady:
 		case f.draining:
 			state = searcher.Draining
 		case f.cold:
@@ -105,105 +106,105 @@
 }
 
 func (f *fake) send(call searcher.Call, done func(searcher.Reply, *searcher.Failure)) func() {
-	x := &fakeCall{f: f, call: call, done: done}
-	f.calls[x] = struct{}{}
-	x.late = f.c.AfterFunc(call.Deadline()-f.c.now, func() { x.fail(searcher.FaultSilent, refusal.Deadline, refusal.Unknown) })
-	f.c.AfterFunc(f.hop, x.arrive)
+	fc := &fakeCall{f: f, call: call, done: done}
+	f.calls[fc] = struct{}{}
+	fc.deadlineTimer = f.clk.AfterFunc(call.Deadline()-f.clk.now, func() { fc.fail(searcher.FaultSilent, refusal.Deadline, refusal.Unknown) })
+	f.clk.AfterFunc(f.netDelay, fc.arrive)
 	if call.Patience() > 0 {
-		x.patience = f.c.AfterFunc(call.Patience(), func() {
+		fc.patience = f.clk.AfterFunc(call.Patience(), func() {
 			if !f.silent && !f.dead {
-				x.tested = true
+				fc.probed = true
 				call.ReportSilent()
 			}
 		})
 	}
 	return func() {
 		fault := searcher.FaultSilent
-		if x.tested {
-			fault, f.stale = searcher.FaultConnection, false
+		if fc.probed {
+			fault, f.staleConnections = searcher.FaultConnection, false
 		}
-		f.c.AfterFunc(f.hop, func() {
-			x.stop()
-			f.c.AfterFunc(f.hop, func() { x.fail(fault, refusal.Cancelled, refusal.Unknown) })
+		f.clk.AfterFunc(f.netDelay, func() {
+			fc.stop()
+			f.clk.AfterFunc(f.netDelay, func() { fc.fail(fault, refusal.Cancelled, refusal.Unknown) })
 		})
 	}
 }
 
-func (x *fakeCall) end(r searcher.Reply, fl *searcher.Failure) {
-	if _, ok := x.f.calls[x]; !ok {
+func (fc *fakeCall) end(r searcher.Reply, fl *searcher.Failure) {
+	if _, ok := fc.f.calls[fc]; !ok {
 		return
 	}
-	delete(x.f.calls, x)
-	x.late.Stop()
-	if x.patience != nil {
-		x.patience.Stop()
+	delete(fc.f.calls, fc)
+	fc.deadlineTimer.Stop()
+	if fc.patience != nil {
+		fc.patience.Stop()
 	}
-	x.stop()
-	x.done(r, fl)
+	fc.stop()
+	fc.done(r, fl)
 }
 
-func (x *fakeCall) fail(fault searcher.Fault, kind refusal.Kind, ran refusal.Ran) {
-	x.end(searcher.Reply{}, searcher.NewFailure(fault, refusal.New(kind, "fake").WithRan(ran)))
+func (fc *fakeCall) fail(fault searcher.Fault, kind refusal.Kind, ran refusal.Ran) {
+	fc.end(searcher.Reply{}, searcher.NewFailure(fault, refusal.New(kind, "fake").WithRan(ran)))
 }
 
-func (x *fakeCall) later(fault searcher.Fault, kind refusal.Kind, ran refusal.Ran) {
-	x.f.c.AfterFunc(x.f.hop, func() { x.fail(fault, kind, ran) })
+func (fc *fakeCall) failLater(fault searcher.Fault, kind refusal.Kind, ran refusal.Ran) {
+	fc.f.clk.AfterFunc(fc.f.netDelay, func() { fc.fail(fault, kind, ran) })
 }
 
-func (x *fakeCall) stop() {
-	if x.runs {
-		x.runs = false
-		x.f.running--
+func (fc *fakeCall) stop() {
+	if fc.running {
+		fc.running = false
+		fc.f.running--
 	}
 }
 
-func (x *fakeCall) arrive() {
-	f := x.f
-	if _, ok := f.calls[x]; !ok {
+func (fc *fakeCall) arrive() {
+	f := fc.f
+	if _, ok := f.calls[fc]; !ok {
 		return
 	}
-	if e := x.call.Permit(); e != nil {
-		x.end(searcher.Reply{}, searcher.NewFailure(searcher.FaultNone, e.WithRan(refusal.NotRun)))
+	if e := fc.call.Permit(); e != nil {
+		fc.end(searcher.Reply{}, searcher.NewFailure(searcher.FaultNone, e.WithRan(refusal.NotRun)))
 		return
 	}
 	switch {
 	case f.dead:
-		x.later(searcher.FaultConnect, refusal.SearcherFailed, refusal.NotRun)
+		fc.failLater(searcher.FaultConnect, refusal.SearcherFailed, refusal.NotRun)
 		return
-	case f.silent || f.stale:
+	case f.silent || f.staleConnections:
 		return
 	case f.draining:
-		if !f.lying && f.c.now-f.drainAt > 3*time.Second {
-			f.lateWork++
+		if !f.claimsReady && f.clk.now-f.drainAt > 3*time.Second {
+			f.afterDrain++
 		}
-		x.later(searcher.FaultDraining, refusal.NoSearcher, refusal.NotRun)
+		fc.failLater(searcher.FaultDraining, refusal.NoSearcher, refusal.NotRun)
 		return
 	case f.cold && f.running >= f.spec.ColdLimit():
-		f.tooMuch++
-		if f.sheds {
-			x.later(searcher.FaultCold, refusal.Cold, refusal.NotRun)
+		f.aboveColdLimit++
+		if f.refusesAboveLimit {
+			fc.failLater(searcher.FaultCold, refusal.Cold, refusal.NotRun)
 			return
 		}
 	case f.cold && f.refuseAll:
-		x.later(searcher.FaultCold, refusal.Cold, refusal.NotRun)
+		fc.failLater(searcher.FaultCold, refusal.Cold, refusal.NotRun)
 		return
 	case f.running >= f.spec.Slots():
-		x.later(searcher.FaultShed, refusal.Overloaded, refusal.NotRun)
+		fc.failLater(searcher.FaultShed, refusal.Overloaded, refusal.NotRun)
 		return
-	case !f.holds(x.call.Snapshot()):
-		x.later(searcher.FaultSnapshot, refusal.SnapshotGone, refusal.NotRun)
+	case !f.holds(fc.call.Snapshot()):
+		fc.failLater(searcher.FaultSnapshot, refusal.SnapshotGone, refusal.NotRun)
 		return
 	}
 	f.ran++
-	f.runs[x.call.ID()]++
+	f.runs[fc.call.ID()]++
 	f.running++
-	x.runs = true
-	f.c.AfterFunc(f.serviceTime(), x.complete)
+	fc.running = true
+	f.clk.AfterFunc(f.serviceTime(), fc.complete)
 }
 
 func (f *fake) version() string {
-	if f.states != "" {
-		return f.states
+	if f.reportedVersion != "" {
+		return f.reportedVersion
 	}
 	return f.spec.Version()
 }
@@ -217,55 +218,57 @@
 	return false
 }
 
-func (x *fakeCall) complete() {
-	if !x.runs || x.f.silent {
+func (fc *fakeCall) complete() {
+	if !fc.running || fc.f.silent {
 		return
 	}
-	if x.f.poison != "" && x.call.Route() == x.f.poison {
-		x.f.crash()
+	if fc.f.poison != "" && fc.call.Route() == fc.f.poison {
+		fc.f.crash()
 		return
 	}
-	x.stop()
-	if x.f.wrongLabel {
-		x.later(searcher.FaultReply, refusal.BadReply, refusal.Unknown)
+	fc.stop()
+	if fc.f.wrongLabel {
+		fc.failLater(searcher.FaultReply, refusal.BadReply, refusal.Unknown)
 		return
 	}
-	if x.f.errors > 0 && x.f.r.Float64() < x.f.errors {
-		x.later(searcher.FaultStatus, refusal.SearcherFailed, refusal.Unknown)
+	if fc.f.errors > 0 && fc.f.rng.Float64() < fc.f.errors {
+		fc.failLater(searcher.FaultStatus, refusal.SearcherFailed, refusal.Unknown)
 		return
 	}
-	snapshot := x.call.Snapshot()
+	snapshot := fc.call.Snapshot()
 	if snapshot == 0 {
-		snapshot = x.f.snapshots[0]
+		snapshot = fc.f.snapshots[0]
 	}
-	x.f.c.AfterFunc(x.f.hop, func() {
-		x.end(searcher.NewReply(searcher.ReplySpec{Version: x.f.version(), Label: x.f.label(snapshot)}), nil)
+	fc.f.clk.AfterFunc(fc.f.netDelay, func() {
+		fc.end(searcher.NewReply(searcher.ReplySpec{Version: fc.f.version(), Label: fc.f.label(snapshot)}), nil)
 	})
 }
 
-// crash kills the process; all that it runs breaks and it restarts cold.
+// crash ends the process: its running requests break, and it restarts cold
+// after 1 s.
 func (f *fake) crash() {
 	f.boot++
 	f.dead = true
-	for x := range f.calls {
-		if x.runs {
-			x.stop()
-			x.later(searcher.FaultCrashed, refusal.SearcherFailed, refusal.Unknown)
+	for fc := range f.calls {
+		if fc.running {
+			fc.stop()
+			fc.failLater(searcher.FaultCrashed, refusal.SearcherFailed, refusal.Unknown)
 		}
 	}
-	f.c.AfterFunc(time.Second, func() { f.dead, f.cold = false, true })
-	f.c.AfterFunc(3*time.Second, func() { f.cold = false })
+	f.clk.AfterFunc(time.Second, func() { f.dead, f.cold = false, true })
+	f.clk.AfterFunc(3*time.Second, func() { f.cold = false })
 }
 
-// serviceTime is lognormal with a mean of 10 ms.
+// serviceTime returns a service time from a lognormal distribution with a mean
+// of 10 ms.
 func (f *fake) serviceTime() time.Duration {
 	const sigma = 0.5
-	ms := 10 * math.Exp(sigma*f.r.NormFloat64()-sigma*sigma/2) * f.slow
+	ms := 10 * math.Exp(sigma*f.rng.NormFloat64()-sigma*sigma/2) * f.slowdown
 	if f.cold && f.coldSlow > 0 {
 		ms *= f.coldSlow
 	}
 	d := time.Duration(ms * float64(time.Millisecond))
-	if f.pauses && f.c.now%(500*time.Millisecond) < 120*time.Millisecond {
+	if f.pauses && f.clk.now%(500*time.Millisecond) < 120*time.Millisecond {
 		d += 100 * time.Millisecond
 	}
 	return d
--- a/home/hedge.go
+++ b/home/hedge.go
@@ -6,57 +6,57 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// unknownHedgePart is the part of the remaining time after which a request is
-// hedged while the service's latency is not known yet.
-const unknownHedgePart = 3
+// unknownHedgeDivisor sets the hedge delay while the latency of the service is
+// unknown: the remaining time divided by this number.
+const unknownHedgeDivisor = 3
 
-// armHedge lets a task wait for its hedge from the time at which its first
-// attempt is later than most.
+// armHedge starts the hedge timer of a task. The delay is the service's latency
+// at the hedge quantile.
 func (g *group) armHedge(t *task, now time.Duration) {
-	if g.policy == catalogue.Baseline || !t.repeatable() {
+	if g.policy == catalogue.Baseline || !t.mayResend() {
 		return
 	}
-	delay, _ := g.service.sketch.read()
+	delay, _ := g.service.latency.quantiles()
 	if delay == 0 {
-		delay = (t.deadline - now) / unknownHedgePart
+		delay = (t.deadline - now) / unknownHedgeDivisor
 	}
-	t.hedge = g.set.clock.AfterFunc(delay, func() {
+	t.hedgeTimer = g.set.clock.AfterFunc(delay, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if t.done || t.sends != 1 || len(t.running) == 0 || t.in != nil || !g.queue.repeat(t, g.queueBound()) {
+		if t.done || t.sends != 1 || len(t.running) == 0 || t.list != nil || !g.queue.pushResend(t, g.queueBound()) {
 			return
 		}
-		t.hedging = true
+		t.hedgePending = true
 		g.dispatch(g.set.clock.Boot())
 	})
 }
 
-// hedgeSlack is the highest ratio of a searcher's expected latency to the group's median
-// at which a hedge to it is likely to win.
-const hedgeSlack = 2
+// maxHedgeLatencyRatio is the highest ratio of a searcher's expected latency to
+// the group's median at which a hedge to the searcher is likely to win.
+const maxHedgeLatencyRatio = 2
 
-// veryLate times the hedge delay is the age at which a hedge may go before
-// waiting tasks and may use the reserve of the budget.
-const veryLate = 2
+// A hedge older than veryLateFactor times the hedge delay may go before waiting
+// tasks and may use the reserve of the budget.
+const veryLateFactor = 2
 
-// considerHedge sends the hedge to another warm searcher that has room. A cold
-// searcher gets none, since a hedge is load that can be avoided.
-func (g *group) considerHedge(t *task, now time.Duration) {
+// dispatchHedge sends the hedge to another warm searcher with free capacity.
+// Cold searchers get no hedges, because a hedge is avoidable load.
+func (g *group) dispatchHedge(t *task, now time.Duration) {
 	reserve := 0.0
-	if delay, _ := g.service.sketch.read(); now-t.running[0].sent < veryLate*delay {
-		reserve = lateTokens
-		if g.queue.fresh() > 0 {
+	if delay, _ := g.service.latency.quantiles(); now-t.running[0].sent < veryLateFactor*delay {
+		reserve = hedgeReserve
+		if g.queue.unsent() > 0 {
 			return
 		}
 	}
 	m := g.best(t, now, func(m *member) bool {
-		return m.warmth.warm && !t.hasTried(m) && g.room(m, now) > m.virtual &&
-			m.expected(now, g.median) <= hedgeSlack*g.median
+		return m.warmup.warm && !t.hasTried(m) && g.freeCapacity(m, now) > m.planned &&
+			m.expectedLatency(now, g.medianLatency) <= maxHedgeLatencyRatio*g.medianLatency
 	})
-	if m == nil || !g.service.budget.take(reserve) {
+	if m == nil || !g.service.budget.spend(reserve) {
 		return
 	}
 	g.queue.remove(t)
-	t.hedging = false
+	t.hedgePending = false
 	g.send(t, m, now, true)
 }
--- a/home/norace_test.go
+++ b/home/norace_test.go
@@ -2,5 +2,6 @@
 
 package home
 
-// raceDetector is set when the tests run about ten times slower.
-const raceDetector = false
+// raceEnabled reports whether the race detector is on; the tests then run about
+// ten times slower.
+const raceEnabled = false
--- a/home/observe.go
+++ b/home/observe.go
@@ -7,55 +7,57 @@
 	"medlaryard.example/medlaryard/searcher"
 )
 
-// observe adds the service time of a reply to the estimates.
-func (g *group) observe(a *attempt, took, now time.Duration) {
-	m := a.m
-	if a.first {
-		g.service.sketch.add(now, took)
+// observeReply adds the service time of a reply to the estimates.
+func (g *group) observeReply(a *attempt, took, now time.Duration) {
+	m := a.member
+	if a.firstSend {
+		g.service.latency.add(now, took)
 	}
-	normal, present, peer := g.reference(m, now)
-	m.usual.add(took)
-	m.estimate.observe(now, float64(took), g.median)
-	m.warmth.suspect(now, took, present, peer)
-	m.warmth.succeed(now, took, normal, m.slots(), m.claimed == searcher.Cold)
+	normal, recent, peer := g.referenceLatency(m, now)
+	m.meanLatency.add(took)
+	m.latency.observe(now, float64(took), g.medianLatency)
+	m.warmup.detectColdStart(now, took, recent, peer)
+	m.warmup.recordReply(now, took, normal, m.slots(), m.reportedState == searcher.Cold)
 	g.updateMedian()
 }
 
-// observeAtLeast adds an attempt that was given up, because its losses to hedges
-// are what shows that a searcher is slow.
-func (g *group) observeAtLeast(a *attempt, took, now time.Duration) {
-	if a.first {
-		g.service.sketch.add(now, took)
+// observeAbandoned adds an attempt that was abandoned after took. Attempts that
+// lose to hedges are the evidence that a searcher is slow.
+func (g *group) observeAbandoned(a *attempt, took, now time.Duration) {
+	if a.firstSend {
+		g.service.latency.add(now, took)
 	}
-	a.m.estimate.atLeast(now, float64(took), g.median)
-	a.m.warmth.giveUp(took)
-	if _, present, peer := g.reference(a.m, now); took > slowFactor*present {
-		// One that was given up sooner might have been fast or slow.
-		a.m.warmth.suspect(now, took, present, peer)
+	a.member.latency.observeAbandoned(now, float64(took), g.medianLatency)
+	a.member.warmup.recordAbandoned(took)
+	if _, recent, peer := g.referenceLatency(a.member, now); took > slowLatencyFactor*recent {
+		// A shorter time shows neither a fast nor a slow searcher.
+		a.member.warmup.detectColdStart(now, took, recent, peer)
 	}
 	g.updateMedian()
 }
 
-// reference returns the latency that is normal for a searcher: that of the
-// fastest other one that is not known to be cold, or else the median of the
-// service; 0 when unknown. Present is the other one's latency of late where that
-// is higher, because then the cause is not the searcher.
-func (g *group) reference(m *member, now time.Duration) (normal, present time.Duration, peer bool) {
+// referenceLatency returns the latency that a searcher is compared with. normal
+// is the mean latency of the fastest other searcher that is not known to be
+// cold; without one it is the service's median, or 0 when that is unknown.
+// recent is the current estimate of that other searcher where it is higher
+// than normal, because then the cause of a slow reply is not the searcher. peer
+// reports whether the reference is another searcher.
+func (g *group) referenceLatency(m *member, now time.Duration) (normal, recent time.Duration, peer bool) {
 	var best *member
 	for _, o := range g.members {
-		if o == m || o.warmth.evident || o.usual.n < usualSamples || o.removed {
+		if o == m || o.warmup.knownCold || o.meanLatency.n < meanLatencySamples || o.removed {
 			continue
 		}
-		if best == nil || o.usual.mean < best.usual.mean {
+		if best == nil || o.meanLatency.mean < best.meanLatency.mean {
 			best = o
 		}
 	}
 	if best == nil {
-		_, median := g.service.sketch.read()
+		_, median := g.service.latency.quantiles()
 		return median, median, false
 	}
-	normal = time.Duration(best.usual.mean)
-	return normal, max(normal, time.Duration(best.estimate.read(now, g.median))), true
+	normal = time.Duration(best.meanLatency.mean)
+	return normal, max(normal, time.Duration(best.latency.current(now, g.medianLatency))), true
 }
 
 // updateMedian computes the lower median of the searchers' estimates, so that
@@ -63,8 +65,8 @@
 func (g *group) updateMedian() {
 	values := g.scratch[:0]
 	for _, m := range g.members {
-		if m.estimate.known && !m.removed {
-			values = append(values, m.estimate.value)
+		if m.latency.known && !m.removed {
+			values = append(values, m.latency.value)
 		}
 	}
 	g.scratch = values
@@ -72,5 +74,5 @@
 		return
 	}
 	slices.Sort(values)
-	g.median = values[(len(values)-1)/2]
+	g.medianLatency = values[(len(values)-1)/2]
 }
--- a/home/options.go
+++ b/home/options.go
@@ -10,28 +10,30 @@
 	"medlaryard.example/medlaryard/searcher"
 )
 
-// forever is the lease end of a Set without leases.
-const forever = time.Duration(math.MaxInt64)
+// noLeaseEnd is the lease end of a Set that was built without WithLeaseEnd.
+const noLeaseEnd = time.Duration(math.MaxInt64)
 
-// SetOption changes how NewSet builds a Set.
+// SetOption configures a Set in NewSet.
 type SetOption func(*Set)
 
-// WithClock replaces the clock of the machine.
+// WithClock sets the clock; the default is the system clock.
 func WithClock(c clock.Clock) SetOption { return func(s *Set) { s.clock = c } }
 
-// WithTargets replaces the HTTP adapter: dial returns the Target of a searcher,
-// without connections until it is resized.
-func WithTargets(dial func(*catalogue.Searcher) *searcher.Target) SetOption {
-	return func(s *Set) { s.dial = dial }
+// WithTargets replaces the HTTP adapter. newTarget returns the Target of a
+// searcher; it opens no connections before its first Resize.
+func WithTargets(newTarget func(*catalogue.Searcher) *searcher.Target) SetOption {
+	return func(s *Set) { s.newTarget = newTarget }
 }
 
-// WithLeaseEnd sets the source of the daemon's lease end, a reading of
-// clock.Clock.Boot. It is asked immediately before each send.
+// WithLeaseEnd sets the function that returns the end of the daemon's lease, as
+// a reading of clock.Clock.Boot. It is called immediately before each send.
 func WithLeaseEnd(end func() time.Duration) SetOption { return func(s *Set) { s.leaseEnd = end } }
 
-// WithCrash sets the function that is told the fingerprint of a request that
+// WithCrash sets a callback that receives the fingerprint of each request that
 // crashed a searcher. It runs in its own goroutine.
-func WithCrash(crash func(fingerprint uint64)) SetOption { return func(s *Set) { s.crash = crash } }
+func WithCrash(onCrash func(fingerprint uint64)) SetOption {
+	return func(s *Set) { s.onCrash = onCrash }
+}
 
-// WithRandom sets the source of the offsets between health requests.
+// WithRandom sets the random source for the jitter of health polling.
 func WithRandom(r *rand.Rand) SetOption { return func(s *Set) { s.random = r } }
--- a/home/poll.go
+++ b/home/poll.go
@@ -9,107 +9,111 @@
 )
 
 const (
-	// healthInterval keeps the time to learn of a drain within the promised 3 s
-	// when a health answer is lost. At 500 ms health requests took 60% of an
-	// idle daemon's processor time, which exceeded the 1.9% of a core for control.
+	// healthInterval lets a home detect a drain within 3 s even if one health
+	// reply is lost. With 500 ms, health requests used 60% of an idle daemon's
+	// processor time, which exceeded the limit of 1.9% of a core for control
+	// traffic.
 	healthInterval = time.Second
-	// healthRetry is the interval after a health request that failed, so that
-	// two lost answers in a row still leave a drain known within 3 s.
-	healthRetry = 250 * time.Millisecond
-	// healthFailures is the number of failed health requests in a row after
-	// which a searcher that does not answer searches either is given up.
-	healthFailures = 2
-	// drainHold is the time for which a refusal because of a drain outweighs
-	// health answers that never admitted the drain.
-	drainHold = 30 * time.Second
-	// actingSleep is the time without requests after which an acting home stops
-	// its health requests.
-	actingSleep = 10 * time.Second
+	// healthRetryInterval is the interval after a failed health request, so
+	// that a drain is detected within 3 s after two lost replies in a row.
+	healthRetryInterval = 250 * time.Millisecond
+	// maxHealthFailures is the number of consecutive failed health requests
+	// after which a searcher without replies to searches is marked down.
+	maxHealthFailures = 2
+	// drainHoldTime is how long a refusal because of a drain outweighs health
+	// replies that do not report the drain.
+	drainHoldTime = 30 * time.Second
+	// actingIdleTimeout is the time without requests after which an acting home
+	// stops its health polling.
+	actingIdleTimeout = 10 * time.Second
 )
 
-// wake starts the health requests of the group.
-func (g *group) wake() {
-	if g.awake {
+// enablePolling starts health polling of all searchers of the group.
+func (g *group) enablePolling() {
+	if g.pollingEnabled {
 		return
 	}
-	g.awake = true
+	g.pollingEnabled = true
 	for _, m := range g.members {
-		g.startPolls(m)
+		g.startPolling(m)
 	}
 }
 
-func (g *group) startPolls(m *member) {
+func (g *group) startPolling(m *member) {
 	if !m.polling && !m.removed {
 		m.polling = true
-		g.ask(m)
+		g.pollMember(m)
 	}
 }
 
-// ask sends one health request.
-func (g *group) ask(m *member) {
+// pollMember sends one health request.
+func (g *group) pollMember(m *member) {
 	m.target.Health(func(h searcher.Health, f *searcher.Failure) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		now := g.set.clock.Boot()
 		if f == nil {
-			g.healthy(m, h, now)
+			g.handleHealth(m, h, now)
 		} else {
-			g.unhealthy(m, now)
+			g.handleHealthFailure(m, now)
 		}
-		g.next(m, now)
+		g.schedulePoll(m, now)
 		g.dispatch(now)
 	})
 }
 
-// next schedules the following health request of the searcher.
-func (g *group) next(m *member, now time.Duration) {
-	if g.share == lease.Acting && now-g.lastUse > actingSleep {
-		g.awake = false
+// schedulePoll schedules the next health request to the searcher, or stops
+// polling it.
+func (g *group) schedulePoll(m *member, now time.Duration) {
+	if g.share == lease.Acting && now-g.lastRequest > actingIdleTimeout {
+		g.pollingEnabled = false
 	}
-	if m.removed || g.closed || !g.awake {
+	if m.removed || g.closed || !g.pollingEnabled {
 		m.polling = false
 		return
 	}
 	interval := healthInterval
 	if m.failures > 0 && !m.down {
-		interval = healthRetry
+		interval = healthRetryInterval
 	}
-	m.poll = g.set.clock.AfterFunc(g.set.spread(interval), func() {
+	m.pollTimer = g.set.clock.AfterFunc(g.set.jitter(interval), func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if m.removed || g.closed {
 			m.polling = false
 			return
 		}
-		g.ask(m)
+		g.pollMember(m)
 	})
 }
 
-// healthy takes in a health answer. It is believed when it speaks against the
-// searcher; a claim to be ready only counts where nothing is known yet.
-func (g *group) healthy(m *member, h searcher.Health, now time.Duration) {
-	if m.boot != "" && m.boot != h.Boot() {
-		m.renew()
+// handleHealth processes a health reply. A reply that the searcher is cold or
+// draining takes effect at once; a report of ready does not make a searcher
+// warm.
+func (g *group) handleHealth(m *member, h searcher.Health, now time.Duration) {
+	if m.bootID != "" && m.bootID != h.Boot() {
+		m.resetAfterRestart()
 		m.drainUntil = 0
 	}
-	m.boot, m.version, m.claimed = h.Boot(), h.Version(), h.State()
+	m.bootID, m.reportedVersion, m.reportedState = h.Boot(), h.Version(), h.State()
 	m.failures, m.down = 0, false
 	if h.State() == searcher.Draining {
 		m.draining, m.drainUntil = true, 0
 	} else if now >= m.drainUntil {
 		m.draining = false
 	}
-	m.learn(h.Labels())
+	m.setLabels(h.Labels())
 	if h.State() == searcher.Cold {
 		meter.Count("home.chill.health", 1)
-		m.warmth.chill(now)
+		m.warmup.markCold(now)
 	}
 }
 
-// unhealthy takes in a failed health request. Replies to searches outweigh it.
-func (g *group) unhealthy(m *member, now time.Duration) {
+// handleHealthFailure processes a failed health request. Recent replies to
+// searches outweigh it.
+func (g *group) handleHealthFailure(m *member, now time.Duration) {
 	m.failures++
-	if m.failures >= healthFailures && now-m.lastReply > healthFailures*healthInterval {
-		g.lose(m)
+	if m.failures >= maxHealthFailures && now-m.lastReply > maxHealthFailures*healthInterval {
+		g.markDown(m)
 	}
 }
--- a/home/queue.go
+++ b/home/queue.go
@@ -5,58 +5,60 @@
 	"medlaryard.example/medlaryard/invariant"
 )
 
-// queueBound is the invariant that a queue never exceeds its bound.
-const queueBound invariant.Name = "home.queue_bound"
+// queueBoundInvariant is the invariant that a queue never exceeds its bound.
+const queueBoundInvariant invariant.Name = "home.queue_bound"
 
-// batchTurn lets batch requests go first in one of so many rounds, so that a
-// constant interactive load does not starve them.
-const batchTurn = 8
+// In one of every batchFirstRounds dispatch rounds batch requests go first, so
+// that constant interactive load does not starve them.
+const batchFirstRounds = 8
 
 // queue holds the waiting tasks of a group in order of arrival, by class. Tasks
-// that are to be sent again have a lane of their own, so that they neither wait
-// behind new ones nor block them while the budget has no token.
+// that are to be resent have a list of their own, so that they do not wait
+// behind new tasks and do not block new tasks while the budget has no token.
 type queue struct {
-	again, interactive, batch lane
-	round                     int
+	resend, interactive, batch taskList
+	round                      int
 }
 
-func (q *queue) lane(c catalogue.Class) *lane {
+func (q *queue) listFor(c catalogue.Class) *taskList {
 	if c == catalogue.Batch {
 		return &q.batch
 	}
 	return &q.interactive
 }
 
-func (q *queue) len() int { return q.again.n + q.interactive.n + q.batch.n }
+func (q *queue) len() int { return q.resend.n + q.interactive.n + q.batch.n }
 
-// fresh returns the number of tasks that were not sent yet.
-func (q *queue) fresh() int { return q.interactive.n + q.batch.n }
+// unsent returns the number of tasks that have not been sent yet.
+func (q *queue) unsent() int { return q.interactive.n + q.batch.n }
 
-// order returns the lanes in the order in which this round serves them.
-func (q *queue) order() [3]*lane {
-	if q.round++; q.round%batchTurn == 0 {
-		return [3]*lane{&q.again, &q.batch, &q.interactive}
+// nextRound starts a dispatch round and returns the lists in the order of
+// service.
+func (q *queue) nextRound() [3]*taskList {
+	if q.round++; q.round%batchFirstRounds == 0 {
+		return [3]*taskList{&q.resend, &q.batch, &q.interactive}
 	}
-	return [3]*lane{&q.again, &q.interactive, &q.batch}
+	return [3]*taskList{&q.resend, &q.interactive, &q.batch}
 }
 
-// push appends a new task, or refuses it when the lane is full.
-func (q *queue) push(t *task, bound int) bool { return q.lane(t.req.Class()).push(t, bound) }
+// push appends a new task. It reports false when the list of its class is full.
+func (q *queue) push(t *task, bound int) bool { return q.listFor(t.req.Class()).push(t, bound) }
 
-// repeat appends a task that is to be sent again, or refuses it when the lane is full.
-func (q *queue) repeat(t *task, bound int) bool { return q.again.push(t, bound) }
+// pushResend appends a task that is to be resent. It reports false when the
+// list is full.
+func (q *queue) pushResend(t *task, bound int) bool { return q.resend.push(t, bound) }
 
-func (l *lane) push(t *task, bound int) bool {
+func (l *taskList) push(t *task, bound int) bool {
 	if l.n >= bound {
 		return false
 	}
 	l.append(t)
-	invariant.Check(queueBound, l.n <= bound, "%d tasks in a lane for %d", l.n, bound)
+	invariant.Check(queueBoundInvariant, l.n <= bound, "queue holds %d tasks, bound is %d", l.n, bound)
 	return true
 }
 
 func (q *queue) remove(t *task) {
-	if t.in != nil {
-		t.in.remove(t)
+	if t.list != nil {
+		t.list.remove(t)
 	}
 }
--- a/home/release.go
+++ b/home/release.go
@@ -6,14 +6,14 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// Release stops new sends to the groups, waits until nothing is in flight and
-// returns what is known about their searchers. Groups that still have requests
-// in flight when ctx ends are missing from the result. A group that the daemon
-// is not home of is released without estimates.
+// Release stops new sends to the groups, waits until no request is in flight
+// and returns the estimates of their searchers. The result omits groups that
+// still have requests in flight when ctx ends. A group that this daemon is not
+// home of is returned without estimates.
 func (s *Set) Release(ctx context.Context, groups []string) []Released {
 	for _, id := range groups {
 		if g := s.group(id); g != nil {
-			g.stop()
+			g.release()
 		}
 	}
 	var out []Released
@@ -24,14 +24,15 @@
 			continue
 		}
 		if g.waitDrained(ctx) {
-			out = append(out, g.knowledge())
+			out = append(out, g.exportEstimates())
 		}
 	}
 	return out
 }
 
-// waitDrained reports whether the group drained before ctx ended; a group that
-// has nothing in flight counts as drained even after that.
+// waitDrained waits until no request of the group is in flight and reports
+// whether that happened before ctx ended. It also reports true if ctx has ended
+// and nothing is in flight.
 func (g *group) waitDrained(ctx context.Context) bool {
 	drained := g.drained()
 	select {
@@ -47,36 +48,37 @@
 	}
 }
 
-// ImportEstimates starts the group's estimates from those of the previous home. It may
-// come before the assignment that makes this daemon the home.
+// ImportEstimates initializes the group's latency and warm-up state from the
+// estimates of the previous home. It may be called before the assignment that
+// makes this daemon the home.
 func (s *Set) ImportEstimates(group string, r Released) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[group]; g != nil {
-		g.adopt(r)
+		g.importEstimates(r)
 		return
 	}
-	s.adopted[group] = adoption{released: r, at: s.clock.Boot()}
+	s.imported[group] = importedEstimates{released: r, at: s.clock.Boot()}
 }
 
-// stop ends the home role before the assignment says so.
-func (g *group) stop() {
+// release stops the group before the assignment removes it.
+func (g *group) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.released = true
-	g.flush()
+	g.refuseQueued()
 }
 
-// shut stops the group for good.
-func (g *group) shut() {
+// shutDown stops the group permanently and closes its connections.
+func (g *group) shutDown() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.released = true
-	g.flush()
+	g.refuseQueued()
 	g.closeLocked()
 }
 
-// drained returns a channel that is closed when nothing is in flight.
+// drained returns a channel that is closed when no request is in flight.
 func (g *group) drained() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,31 +86,33 @@
 		g.idle = make(chan struct{})
 	}
 	idle := g.idle
-	g.settle()
+	g.cleanUpIdle()
 	return idle
 }
 
-// settle announces that nothing is in flight and closes removed searchers.
-func (g *group) settle() {
+// cleanUpIdle runs after every event that may leave the group or a removed
+// searcher without requests in flight. It wakes the callers of drained, closes
+// idle removed searchers and closes a retired group.
+func (g *group) cleanUpIdle() {
 	if g.inflight == 0 && g.idle != nil {
 		close(g.idle)
 		g.idle = nil
 	}
-	kept := g.gone[:0]
-	for _, m := range g.gone {
+	kept := g.removedMembers[:0]
+	for _, m := range g.removedMembers {
 		if m.inflight == 0 {
 			m.target.Close()
 			continue
 		}
 		kept = append(kept, m)
 	}
-	g.gone = kept
+	g.removedMembers = kept
 	if g.inflight == 0 && g.share == lease.None {
 		g.closeLocked()
 	}
 }
 
-// closeLocked closes the connections; attempts in flight fail.
+// closeLocked closes all connections; attempts in flight fail.
 func (g *group) closeLocked() {
 	if g.closed {
 		return
@@ -116,8 +120,8 @@
 	g.closed = true
 	for _, m := range g.members {
 		m.removed = true
-		if m.poll != nil {
-			m.poll.Stop()
+		if m.pollTimer != nil {
+			m.pollTimer.Stop()
 		}
 		m.target.Close()
 	}
@@ -129,24 +133,24 @@
 	return g.closed
 }
 
-func (g *group) knowledge() Released {
+func (g *group) exportEstimates() Released {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	estimates := make([]Estimate, 0, len(g.members))
 	for _, m := range g.members {
-		estimates = append(estimates, m.knowledge())
+		estimates = append(estimates, m.exportEstimate())
 	}
 	return NewReleased(g.id, estimates)
 }
 
-func (g *group) adopt(r Released) {
+func (g *group) importEstimates(r Released) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.set.clock.Boot()
 	for _, e := range r.Searchers() {
 		for _, m := range g.members {
 			if m.spec.Name() == e.Name() && m.spec.Address() == e.Address() {
-				m.adopt(now, e)
+				m.importEstimate(now, e)
 			}
 		}
 	}
--- a/home/released.go
+++ b/home/released.go
@@ -4,19 +4,19 @@
 
 // EstimateSpec holds the values that NewEstimate takes.
 type EstimateSpec struct {
-	// Name names the searcher.
+	// Name is the name of the searcher.
 	Name string
 	// Address is the address of the searcher.
 	Address string
-	// Warm is set when the searcher has finished its cold start.
+	// Warm reports whether the searcher has completed its cold start.
 	Warm bool
 	// Latency is the expected service time; 0 when unknown.
 	Latency time.Duration
-	// ColdLimit is the number of requests in flight that the ramp allows; 0 when warm.
+	// ColdLimit is the limit of requests in flight during the cold start; 0 when warm.
 	ColdLimit int
 }
 
-// Estimate is what a home knows about one searcher.
+// Estimate is the state of one searcher that a home hands off to the next home.
 type Estimate struct {
 	spec EstimateSpec
 }
@@ -24,22 +24,23 @@
 // NewEstimate returns the immutable Estimate that spec describes.
 func NewEstimate(spec EstimateSpec) Estimate { return Estimate{spec: spec} }
 
-// Name names the searcher.
+// Name is the name of the searcher.
 func (e Estimate) Name() string { return e.spec.Name }
 
 // Address is the address of the searcher.
 func (e Estimate) Address() string { return e.spec.Address }
 
-// Warm is set when the searcher has finished its cold start.
+// Warm reports whether the searcher has completed its cold start.
 func (e Estimate) Warm() bool { return e.spec.Warm }
 
 // Latency is the expected service time; 0 when unknown.
 func (e Estimate) Latency() time.Duration { return e.spec.Latency }
 
-// ColdLimit is the number of requests in flight that the ramp allows; 0 when warm.
+// ColdLimit is the limit of requests in flight during the cold start; 0 when warm.
 func (e Estimate) ColdLimit() int { return e.spec.ColdLimit }
 
-// Released states that a daemon no longer sends to a group, and what it knew.
+// Released confirms that a daemon no longer sends to a group, and carries its
+// estimates of the group's searchers.
 type Released struct {
 	group     string
 	searchers []Estimate
@@ -53,6 +54,6 @@
 // Group is the id of the group.
 func (r Released) Group() string { return r.group }
 
-// Searchers are the estimates of the group's searchers; empty when the daemon
-// was not home of the group.
+// Searchers returns the estimates of the group's searchers; empty when the
+// daemon was not home of the group.
 func (r Released) Searchers() []Estimate { return r.searchers }
--- a/home/result.go
+++ b/home/result.go
@@ -8,7 +8,7 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// The invariants that hold at every result.
+// Invariants that are checked at every result.
 const (
 	resultOnce  invariant.Name = "home.one_result"
 	resultLabel invariant.Name = "home.result_has_snapshot"
@@ -17,11 +17,11 @@
 
 // answer ends a task with the reply of one of its attempts.
 func (g *group) answer(a *attempt, r searcher.Reply) {
-	t := a.t
+	t := a.task
 	if !invariant.Check(resultLabel, t.req.Snapshot() == 0 || r.Label().Snapshot() == t.req.Snapshot(),
-		"request %s: snapshot %d, asked for %d", t.req.ID(), r.Label().Snapshot(), t.req.Snapshot()) {
+		"reply to request %s is from snapshot %d, requested %d", t.req.ID(), r.Label().Snapshot(), t.req.Snapshot()) {
 		t.ran = refusal.DidRun
-		g.refuse(t, refusal.New(refusal.BadReply, "reply is from snapshot %d", r.Label().Snapshot()))
+		g.refuse(t, refusal.New(refusal.BadReply, "searcher replied from snapshot %d, which was not requested", r.Label().Snapshot()))
 		return
 	}
 	hits := r.Hits()
@@ -30,7 +30,7 @@
 	}
 	g.finish(t, shard.ResultSpec{
 		Ran:      refusal.DidRun,
-		Searcher: a.m.spec.Name(),
+		Searcher: a.member.spec.Name(),
 		Version:  a.version,
 		Label:    r.Label(),
 		Hits:     hits,
@@ -38,44 +38,44 @@
 	})
 }
 
-// refuse ends a task without an answer. What the task's attempts prove about
-// having run takes precedence over what e says.
+// refuse ends a task without a reply. Whether the request ran follows from the
+// task's attempts and not from e.
 func (g *group) refuse(t *task, e *refusal.Error) {
 	ran := refusal.NotRun
 	if !t.notRun() {
 		ran = refusal.Unknown
 	}
 	invariant.Check(resultRan, ran != refusal.NotRun || (t.ran == refusal.NotRun && len(t.running) == 0),
-		"request %s: outcome so far %s", t.req.ID(), t.ran)
+		"request %s is refused as not run, outcome so far %s", t.req.ID(), t.ran)
 	kind := e.Kind()
 	if ran == refusal.Unknown && !t.req.Idempotent() {
 		kind = refusal.OutcomeUnknown
 	}
 	spec := shard.ResultSpec{Kind: kind, Ran: ran, Crashed: t.crashed, Detail: e.Detail()}
 	if kind == refusal.SnapshotGone {
-		spec.AvailableSnapshots = g.held()
+		spec.AvailableSnapshots = g.availableSnapshots()
 	}
 	meter.Refused("home", kind)
 	g.finish(t, spec)
 }
 
-// finish ends a task: it leaves the queue, its timers stop and what still runs
-// for it is cancelled.
+// finish ends a task: it removes the task from the queue, stops its timers,
+// cancels its running attempts and returns the result.
 func (g *group) finish(t *task, spec shard.ResultSpec) {
-	if !invariant.Check(resultOnce, !t.done, "request %s", t.req.ID()) {
+	if !invariant.Check(resultOnce, !t.done, "request %s already has a result", t.req.ID()) {
 		return
 	}
 	t.done = true
 	g.queue.remove(t)
-	if t.expiry != nil {
-		t.expiry.Stop()
+	if t.deadlineTimer != nil {
+		t.deadlineTimer.Stop()
 	}
-	if t.hedge != nil {
-		t.hedge.Stop()
+	if t.hedgeTimer != nil {
+		t.hedgeTimer.Stop()
 	}
-	t.sated()
-	if t.prepaid {
-		t.prepaid = false
+	t.stopTokenWait()
+	if t.hasToken {
+		t.hasToken = false
 		g.service.budget.refund()
 	}
 	for _, a := range t.running {
--- a/home/set.go
+++ b/home/set.go
@@ -17,47 +17,47 @@
 
 // Set holds all homes of a daemon. It is safe for concurrent use.
 type Set struct {
-	clock    clock.Clock
-	dial     func(*catalogue.Searcher) *searcher.Target
-	leaseEnd func() time.Duration
-	crash    func(fingerprint uint64)
+	clock     clock.Clock
+	newTarget func(*catalogue.Searcher) *searcher.Target
+	leaseEnd  func() time.Duration
+	onCrash   func(fingerprint uint64)
 
 	randomMu sync.Mutex
 	random   *rand.Rand
 
-	mu       sync.RWMutex
-	groups   map[string]*group
-	services map[string]*service
-	adopted  map[string]adoption           // For groups that are not assigned yet.
-	shares   map[string]map[string]float64 // By service and move.
-	closed   bool
+	mu         sync.RWMutex
+	groups     map[string]*group
+	services   map[string]*service
+	imported   map[string]importedEstimates  // By group id; for groups that are not assigned yet.
+	moveShares map[string]map[string]float64 // By service name and move name.
+	closed     bool
 }
 
 // NewSet returns a Set without homes.
 func NewSet(opts ...SetOption) *Set {
 	s := &Set{
-		clock:    clock.System{},
-		leaseEnd: func() time.Duration { return forever },
-		crash:    func(uint64) {},
-		random:   rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		groups:   make(map[string]*group),
-		services: make(map[string]*service),
-		adopted:  make(map[string]adoption),
-		shares:   make(map[string]map[string]float64),
+		clock:      clock.System{},
+		leaseEnd:   func() time.Duration { return noLeaseEnd },
+		onCrash:    func(uint64) {},
+		random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		groups:     make(map[string]*group),
+		services:   make(map[string]*service),
+		imported:   make(map[string]importedEstimates),
+		moveShares: make(map[string]map[string]float64),
 	}
 	for _, opt := range opts {
 		opt(s)
 	}
-	if s.dial == nil {
-		s.dial = func(t *catalogue.Searcher) *searcher.Target {
+	if s.newTarget == nil {
+		s.newTarget = func(t *catalogue.Searcher) *searcher.Target {
 			return searcher.NewTargetOf(t, searcher.WithClock(s.clock))
 		}
 	}
 	return s
 }
 
-// Do runs a request at its home and waits for the result, which comes at the
-// request's deadline at the latest.
+// Do runs a request at its home and waits for the result. The result arrives no
+// later than the request's deadline; it arrives early when ctx ends.
 func (s *Set) Do(ctx context.Context, req shard.Request) shard.Result {
 	result := make(chan shard.Result, 1)
 	g, t := s.start(req, func(r shard.Result) { result <- r })
@@ -66,14 +66,15 @@
 		return r
 	case <-ctx.Done():
 		if g != nil {
-			g.withdraw(t)
+			g.cancel(t)
 		}
 		return <-result
 	}
 }
 
-// start accepts a request; reply is called exactly once and must not wait. The
-// group is nil when the request was refused for want of one.
+// start passes a request to its group. It calls reply exactly once; reply must
+// not block. The returned group and task are nil when this daemon is not home
+// of the request's group.
 func (s *Set) start(req shard.Request, reply func(shard.Result)) (*group, *task) {
 	g := s.group(req.Group())
 	if g == nil {
@@ -90,8 +91,8 @@
 	})
 }
 
-// AvailableSnapshots returns the labels of the snapshots that the group can serve now, newest
-// first.
+// AvailableSnapshots returns the labels of the snapshots that the group can
+// serve now, newest first.
 func (s *Set) AvailableSnapshots(group string) []shard.Label {
 	g := s.group(group)
 	if g == nil {
@@ -99,28 +100,28 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.held()
+	return g.availableSnapshots()
 }
 
-// Evidence returns what was seen of each service, version and route since the
-// Set was made.
+// Evidence returns the request counts and latencies of each service, version
+// and route since the Set was created.
 func (s *Set) Evidence() []Evidence {
 	var all []Evidence
 	for _, v := range s.serviceList() {
-		all = append(all, v.ledger.evidence(v.name)...)
+		all = append(all, v.evidence.list(v.name)...)
 	}
 	return all
 }
 
 // SetMoveShare sets the share of traffic, 0 to 1, that the new version of a
-// move may receive. At 0 it receives no new work at once. The service need not
-// be assigned yet.
+// move may receive. A share of 0 stops new work on that version at once. The
+// service need not be assigned yet.
 func (s *Set) SetMoveShare(service, move string, share float64) {
 	s.mu.Lock()
-	if s.shares[service] == nil {
-		s.shares[service] = make(map[string]float64)
+	if s.moveShares[service] == nil {
+		s.moveShares[service] = make(map[string]float64)
 	}
-	s.shares[service][move] = share
+	s.moveShares[service][move] = share
 	v := s.services[service]
 	s.mu.Unlock()
 	if v == nil {
@@ -134,13 +135,14 @@
 	}
 }
 
-// Close ends all homes and waits until nothing is in flight.
+// Close refuses all queued requests, closes the connections and waits until no
+// request is in flight.
 func (s *Set) Close() {
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
 	for _, g := range s.groupList() {
-		g.shut()
+		g.shutDown()
 		<-g.drained()
 	}
 }
@@ -173,11 +175,11 @@
 	return list
 }
 
-// spread returns d changed by at most a tenth, so that the health requests of
-// many daemons do not fall together.
-func (s *Set) spread(d time.Duration) time.Duration {
+// jitter returns d changed by up to 10% at random, so that the health requests
+// of many daemons do not coincide.
+func (s *Set) jitter(d time.Duration) time.Duration {
 	s.randomMu.Lock()
 	defer s.randomMu.Unlock()
-	const part = 10
-	return d - d/part + time.Duration(s.random.Int64N(int64(2*d/part)))
+	const fraction = 10
+	return d - d/fraction + time.Duration(s.random.Int64N(int64(2*d/fraction)))
 }
--- a/home/silent.go
+++ b/home/silent.go
@@ -7,52 +7,54 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// maxPatiencePart is the part of the remaining time that a silent connection
-// may use up, so that the repeated request still has time.
-const maxPatiencePart = 3
+// patienceDivisor bounds the patience to the remaining time divided by this
+// number, so that a resent request still has time.
+const patienceDivisor = 3
 
-// patience is the time without a byte of reply after which the connection of
-// an attempt is tested.
+// patience returns the time without a byte of reply after which the connection
+// of an attempt is probed; 0 turns the probe off.
 func (g *group) patience(t *task) time.Duration {
 	if g.policy == catalogue.Baseline {
 		return 0
 	}
-	left := (t.deadline - g.set.clock.Boot()) / maxPatiencePart
-	delay, _ := g.service.sketch.read()
+	left := (t.deadline - g.set.clock.Boot()) / patienceDivisor
+	delay, _ := g.service.latency.quantiles()
 	if delay == 0 {
 		return left
 	}
-	return min(left, time.Duration(float64(delay)*max(1, g.service.description().PatienceFactor())))
+	return min(left, time.Duration(float64(delay)*max(1, g.service.currentSpec().PatienceFactor())))
 }
 
-// silent takes in that the connection of an attempt is silent while a new
-// connection to its searcher works. The searcher keeps its health. The request
-// is sent again, over connections made since, if it may be.
-func (g *group) silent(a *attempt) {
+// handleSilent records that the connection of an attempt is silent while a new
+// connection to its searcher works. The searcher keeps its state, since only
+// the connection failed. The request is resent over a newer connection if it
+// may be.
+func (g *group) handleSilent(a *attempt) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t := a.t
+	t := a.task
 	meter.Count("home.connection.silent", 1)
 	a.silent = true
-	if t.done || a.over || !t.repeatable() || t.sends >= maxSends || t.awaitsReply() {
-		return // Without a repetition the reply may still come.
+	if t.done || a.ended || !t.mayResend() || t.sends >= maxSends || t.awaitsReply() {
+		return // The attempt goes on: without a resend its reply may still arrive.
 	}
-	t.silent, t.hedging = a, false
-	if t.in == nil && !g.queue.repeat(t, g.queueBound()) {
-		t.silent = nil
+	t.silentAttempt, t.hedgePending = a, false
+	if t.list == nil && !g.queue.pushResend(t, g.queueBound()) {
+		t.silentAttempt = nil
 		return
 	}
 	g.dispatch(g.set.clock.Boot())
 }
 
-// considerSilent gives the silent attempt up once the budget permits another.
-// The slot is free when the attempt has ended, and the task waits again then.
-func (g *group) considerSilent(t *task) {
-	if !g.service.budget.take(0) {
+// replaceSilent cancels the silent attempt once the budget has a token for the
+// resend. The slot becomes free when the attempt ends, and the task is queued
+// again then.
+func (g *group) replaceSilent(t *task) {
+	if !g.service.budget.spend(0) {
 		return
 	}
 	g.queue.remove(t)
-	t.silent.replaced = true
-	t.silent.cancel()
-	t.silent = nil
+	t.silentAttempt.replaced = true
+	t.silentAttempt.cancel()
+	t.silentAttempt = nil
 }
--- a/home/simclock_test.go
+++ b/home/simclock_test.go
@@ -7,7 +7,8 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// simClock runs all timers of a test in order on one goroutine.
+// simClock is a simulated clock that runs all timers of a test in order on one
+// goroutine.
 type simClock struct {
 	now    time.Duration
 	events eventHeap
@@ -19,14 +20,14 @@
 	at  time.Duration
 	seq int
 	f   func()
-	i   int // Place in the heap; -1 when it is not there.
+	i   int // Index in the heap; -1 when it is not there.
 }
 
 func newSimClock() *simClock { return &simClock{now: time.Hour} }
 
 func (c *simClock) Now() time.Time                     { return time.Unix(0, int64(c.now)) }
 func (c *simClock) Boot() time.Duration                { return c.now }
-func (c *simClock) NewTimer(time.Duration) clock.Timer { panic("homes use AfterFunc only") }
+func (c *simClock) NewTimer(time.Duration) clock.Timer { panic("package home uses only AfterFunc") }
 
 func (c *simClock) AfterFunc(d time.Duration, f func()) clock.Timer {
 	c.seq++
@@ -35,7 +36,7 @@
 	return e
 }
 
-// run executes events for the next d.
+// run executes the events of the next d.
 func (c *simClock) run(d time.Duration) {
 	end := c.now + d
 	for len(c.events) > 0 && c.events[0].at <= end {
@@ -47,7 +48,7 @@
 }
 
 func (e *event) C() <-chan time.Time      { return nil }
-func (e *event) Reset(time.Duration) bool { panic("homes do not reset timers") }
+func (e *event) Reset(time.Duration) bool { panic("package home does not reset timers") }
 
 func (e *event) Stop() bool {
 	if e.i < 0 {
--- a/home/status.go
+++ b/home/status.go
@@ -2,29 +2,32 @@
 
 import "time"
 
-// SearcherStatus is the state of one searcher as its home sees it.
+// SearcherStatus is the state of one searcher as seen by its home.
 type SearcherStatus struct {
 	name, state, version  string
 	inflight, limit, open int
 	latency               time.Duration
 }
 
-// Name names the searcher.
+// Name returns the name of the searcher.
 func (s SearcherStatus) Name() string { return s.name }
 
-// State is one of out, draining, down, unknown, cold, new and warm.
+// State is one of out, draining, down, unknown, cold, new and warm. out: its
+// failure domain is out of service; unknown: no health reply yet; new: neither
+// known to be cold nor warm yet.
 func (s SearcherStatus) State() string { return s.state }
 
-// Version is the version that the searcher states.
+// Version is the version that the searcher reports; empty before its first
+// health reply.
 func (s SearcherStatus) Version() string { return s.version }
 
-// InFlight is the number of requests sent and not ended.
+// InFlight is the number of requests in flight to the searcher.
 func (s SearcherStatus) InFlight() int { return s.inflight }
 
-// Limit is the highest number of requests in flight now.
+// Limit is the current limit of requests in flight.
 func (s SearcherStatus) Limit() int { return s.limit }
 
-// Open is the number of connections.
+// Open is the number of open connections to the searcher.
 func (s SearcherStatus) Open() int { return s.open }
 
 // Latency is the expected service time.
@@ -40,16 +43,16 @@
 // ID is the id of the group.
 func (s GroupStatus) ID() string { return s.id }
 
-// Share is the home's share, as package lease names it.
+// Share is the name of the home's share, see lease.Share.
 func (s GroupStatus) Share() string { return s.share }
 
 // Queued is the number of waiting requests.
 func (s GroupStatus) Queued() int { return s.queued }
 
-// InFlight is the number of requests sent to searchers and not ended.
+// InFlight is the number of requests in flight to searchers.
 func (s GroupStatus) InFlight() int { return s.inflight }
 
-// Searchers are the searchers of the group, in catalogue order.
+// Searchers returns the searchers of the group in catalogue order.
 func (s GroupStatus) Searchers() []SearcherStatus { return s.searchers }
 
 // Status returns the state of all homes, ordered by group id.
@@ -68,9 +71,9 @@
 	st := GroupStatus{id: g.id, share: g.share.String(), queued: g.queue.len(), inflight: g.inflight}
 	for _, m := range g.members {
 		st.searchers = append(st.searchers, SearcherStatus{
-			name: m.spec.Name(), state: m.state(), version: m.version,
+			name: m.spec.Name(), state: m.state(), version: m.reportedVersion,
 			inflight: m.inflight, limit: m.limit(g.share), open: m.target.Open(),
-			latency: time.Duration(m.estimate.read(now, g.median)),
+			latency: time.Duration(m.latency.current(now, g.medianLatency)),
 		})
 	}
 	return st
@@ -84,11 +87,11 @@
 		return "draining"
 	case m.down:
 		return "down"
-	case m.claimed == "":
+	case m.reportedState == "":
 		return "unknown"
-	case m.warmth.warm:
+	case m.warmup.warm:
 		return "warm"
-	case m.warmth.evident:
+	case m.warmup.knownCold:
 		return "cold"
 	}
 	return "new"
