--- a/shard/result.go
+++ b/shard/result.go
@@ -6,31 +6,32 @@
 
 // ResultSpec holds the values that NewResult takes.
 type ResultSpec struct {
-	// Kind is refusal.None for an answer, otherwise the reason for its absence.
+	// Kind is refusal.None for an answer, otherwise the reason for the refusal.
 	Kind refusal.Kind
 	// Ran states whether the request ran on a searcher.
 	Ran refusal.Ran
-	// Shard names the shard.
+	// Shard is the name of the shard.
 	Shard string
-	// Group is the replica group that answered.
+	// Group is the id of the replica group that the request was sent to.
 	Group string
-	// Searcher names the searcher that answered.
+	// Searcher is the name of the searcher that answered.
 	Searcher string
 	// Version is the back-end version of that searcher.
 	Version string
-	// Label states what the answer covers.
+	// Label identifies the snapshot and the part of it that the answer covers.
 	Label Label
-	// Hits are the results, highest score first.
+	// Hits are the documents found, highest score first.
 	Hits []Hit
-	// Body is the opaque answer of a non-idempotent request.
+	// Body is the response body of a non-idempotent request, opaque to this module.
 	Body []byte
-	// Attempts is the number of sends to searchers, hedges included.
+	// Attempts is the number of sends to searchers, including hedges.
 	Attempts int
-	// Crashed is set when the request broke the connections of a searcher that ran it alone.
+	// Crashed reports whether the request crashed a searcher: the searcher's connections
+	// broke while it ran only this request.
 	Crashed bool
 	// AvailableSnapshots are the labels of the snapshots that the group can serve now.
 	AvailableSnapshots []Label
-	// Detail explains a refusal to a person.
+	// Detail is a human-readable explanation of a refusal.
 	Detail string
 }
 
@@ -44,41 +45,42 @@
 	return Result{spec: spec}
 }
 
-// Kind is refusal.None for an answer, otherwise the reason for its absence.
+// Kind is refusal.None for an answer, otherwise the reason for the refusal.
 func (r Result) Kind() refusal.Kind { return r.spec.Kind }
 
 // Ran states whether the request ran on a searcher.
 func (r Result) Ran() refusal.Ran { return r.spec.Ran }
 
-// Shard names the shard.
+// Shard is the name of the shard.
 func (r Result) Shard() string { return r.spec.Shard }
 
-// Group is the replica group that answered.
+// Group is the id of the replica group that the request was sent to.
 func (r Result) Group() string { return r.spec.Group }
 
-// Searcher names the searcher that answered.
+// Searcher is the name of the searcher that answered.
 func (r Result) Searcher() string { return r.spec.Searcher }
 
 // Version is the back-end version of that searcher.
 func (r Result) Version() string { return r.spec.Version }
 
-// Label states what the answer covers.
+// Label identifies the snapshot and the part of it that the answer covers.
 func (r Result) Label() Label { return r.spec.Label }
 
-// Hits are the results, highest score first.
+// Hits are the documents found, highest score first.
 func (r Result) Hits() []Hit { return r.spec.Hits }
 
-// Body is the opaque answer of a non-idempotent request.
+// Body is the response body of a non-idempotent request, opaque to this module.
 func (r Result) Body() []byte { return r.spec.Body }
 
-// Attempts is the number of sends to searchers, hedges included.
+// Attempts is the number of sends to searchers, including hedges.
 func (r Result) Attempts() int { return r.spec.Attempts }
 
-// Crashed is set when the request broke the connections of a searcher that ran it alone.
+// Crashed reports whether the request crashed a searcher: the searcher's connections
+// broke while it ran only this request.
 func (r Result) Crashed() bool { return r.spec.Crashed }
 
 // AvailableSnapshots are the labels of the snapshots that the group can serve now.
 func (r Result) AvailableSnapshots() []Label { return r.spec.AvailableSnapshots }
 
-// Detail explains a refusal to a person.
+// Detail is a human-readable explanation of a refusal.
 func (r Result) Detail() string { return r.spec.Detail }
