--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,32 +1,37 @@
-// Package admission refuses requests early: over the limits of their owner,
-// class or service, or because equal requests crashed searchers.
+// Package admission refuses requests before they reach a home: requests over
+// the limits of their owner, class or service, and requests equal to ones that
+// crashed searchers.
 //
-// Limits in the catalogue hold over all daemons. Each entry applies an equal
-// part of them, so no call to another daemon is needed per request.
+// The limits in the catalogue hold for all daemons together. Each entry applies
+// an equal part of them, so a request needs no call to another daemon.
 //
 // # Bound on crashes
 //
-// Equal requests have the same fingerprint. Each daemon keeps the strikes of
-// fingerprints and tells new ones to the other daemons of the cell, beside the
-// answer. What one fingerprint may crash within strikeTime is bounded as follows.
+// Equal requests have the same fingerprint. A strike is the record of a crash
+// under a fingerprint. Each daemon keeps a table of strikes and sends new ones
+// to the other daemons of its cell, without delaying the reply to the caller.
+// The number of crashes under one fingerprint within strikeTTL is bounded as
+// follows.
 //
-//   - A caller that resends after each answer, and not sooner than the strike
-//     takes to arrive, crashes searchers in two rounds, whichever daemons it
-//     sends to: the first fan-out, which may crash one searcher of each shard, and
-//     one run as a suspect, which risks the other shards only after one has
-//     survived it.
-//   - The homes of one daemon run a fingerprint unmarked until its first crash
-//     there and as a suspect until the second one, even if no strike arrives. So
-//     daemons that do not hear each other bear two rounds each.
-//   - Requests that are in flight at the first crash, or reach a daemon before the
-//     strike does, count as the first round. Their number is not bounded here:
-//     callers that send the same request at the same time through several entries
-//     crash up to one searcher for each of these requests and each of its shards.
-//   - A daemon runs the suspect requests of one query at a time. Suspect queries
-//     of several callers overlap only at different daemons: at the homes of several
-//     groups of a shard, or at the home and an acting home of one group. Each of
-//     these daemons bears one run.
+//   - Sequential resends: a caller that resends after each reply, and only after
+//     the strike has arrived, crashes searchers in two rounds, whichever daemons it
+//     sends to. The first round is the first fan-out, which may crash one searcher
+//     of each shard. The second round is one run as a suspect, which reaches the
+//     other shards only after one has survived it.
+//   - Lost strikes: the homes of one daemon run a fingerprint unmarked until its
+//     first crash there, and as a suspect until the second one, even if no strike
+//     arrives. So each daemon that receives no strikes from the others adds two
+//     rounds.
+//   - Concurrent requests: requests that are in flight at the first crash, or that
+//     reach a daemon before the strike does, count as the first round. Their number
+//     is not bounded here: callers that send the same request at the same time
+//     through several entries crash up to one searcher for each of these requests
+//     and each of its shards.
+//   - Concurrent suspects: a daemon runs the suspect requests of one query at a
+//     time. Suspect queries of several callers overlap only at different daemons:
+//     at the homes of several groups of a shard, or at the home and an acting home
+//     of one group. Each of these daemons adds one run.
 //
-// A strike that finds no room in the queue or a daemon that missed it is repeated
-// every 10 s.
+// A strike that was dropped because the queue was full, or that a daemon
+// missed, is sent again every 10 s.
 package admission
--- a/admission/entrylimit.go
+++ b/admission/entrylimit.go
@@ -8,64 +8,66 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// burstTime is the time for which a gate may admit at once. Callers keep an
-// address for 5 s, so their requests reach an entry unevenly.
-const burstTime = time.Second
+// burstDuration is the time whose requests an entry may admit at once. Callers
+// keep the address of an entry for 5 s, so their requests arrive unevenly.
+const burstDuration = time.Second
 
-// gate is one limit at this entry.
-type gate struct {
-	limits      catalogue.Limits
-	entries     int
-	rate        *rate.Limiter
-	last        *rate.Reservation
-	concurrency int // 0 for no bound.
-	inFlight    int
+// entryLimit is one entry's part of one catalogue limit.
+type entryLimit struct {
+	limits          catalogue.Limits
+	entries         int
+	rate            *rate.Limiter
+	lastReservation *rate.Reservation
+	concurrency     int // 0 stands for no limit.
+	inFlight        int
 }
 
-func newGate() *gate { return &gate{rate: rate.NewLimiter(rate.Inf, 1)} }
+func newEntryLimit() *entryLimit { return &entryLimit{rate: rate.NewLimiter(rate.Inf, 1)} }
 
-// set applies one of n parts of the limits.
-func (g *gate) set(now time.Time, limits catalogue.Limits, n int) {
-	if limits == g.limits && n == g.entries {
+// configure installs one of n equal parts of the limits.
+func (e *entryLimit) configure(now time.Time, limits catalogue.Limits, n int) {
+	if limits == e.limits && n == e.entries {
 		return
 	}
-	g.limits, g.entries = limits, n
+	e.limits, e.entries = limits, n
 	r := limits.Rate() / float64(n)
-	burst := max(1, int(r*burstTime.Seconds()))
+	burst := max(1, int(r*burstDuration.Seconds()))
 	switch {
 	case r <= 0:
-		g.rate = rate.NewLimiter(rate.Inf, 1)
-	case g.rate.Limit() == rate.Inf:
-		// A limiter that was infinite would start without its burst.
-		g.rate = rate.NewLimiter(rate.Limit(r), burst)
+		e.rate = rate.NewLimiter(rate.Inf, 1)
+	case e.rate.Limit() == rate.Inf:
+		// A limiter with an infinite rate has no tokens, so changing its rate
+		// would start without the burst.
+		e.rate = rate.NewLimiter(rate.Limit(r), burst)
 	default:
-		g.rate.SetLimitAt(now, rate.Limit(r))
-		g.rate.SetBurstAt(now, burst)
+		e.rate.SetLimitAt(now, rate.Limit(r))
+		e.rate.SetBurstAt(now, burst)
 	}
-	g.concurrency = 0
+	e.concurrency = 0
 	if c := limits.Concurrency(); c > 0 {
-		// With fewer than n in all, each entry still admits one.
-		g.concurrency = max(1, c/n)
+		// If the limit is less than n, each entry still admits one.
+		e.concurrency = max(1, c/n)
 	}
 }
 
-// take admits one request, or returns the bound that it breaks.
-func (g *gate) take(now time.Time) string {
-	if g.concurrency > 0 && g.inFlight >= g.concurrency {
-		return "highest number of requests in flight"
+// admit admits one request and returns "", or returns the name of the limit
+// that the request exceeds.
+func (e *entryLimit) admit(now time.Time) string {
+	if e.concurrency > 0 && e.inFlight >= e.concurrency {
+		return "limit of requests in flight"
 	}
-	r := g.rate.ReserveN(now, 1)
+	r := e.rate.ReserveN(now, 1)
 	if !r.OK() || r.DelayFrom(now) > 0 {
 		r.CancelAt(now)
-		return "request rate"
+		return "request rate limit"
 	}
-	g.last = r
-	g.inFlight++
+	e.lastReservation = r
+	e.inFlight++
 	return ""
 }
 
-// undo takes back the latest take.
-func (g *gate) undo(now time.Time) {
-	g.last.CancelAt(now)
-	g.inFlight--
+// rollback undoes the latest admit.
+func (e *entryLimit) rollback(now time.Time) {
+	e.lastReservation.CancelAt(now)
+	e.inFlight--
 }
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -10,32 +10,35 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Limiter applies this entry's part of the limits. Its table is bounded by the
-// catalogue.
+// Limiter applies this entry's part of the catalogue limits. Its table is
+// bounded by the catalogue: it holds one limit for each owner, class of an
+// owner and service.
 type Limiter struct {
 	clk     clock.Clock
 	entries func() int
 
-	mu         sync.Mutex
-	generation uint64
-	gates      map[key]*gate
+	mu          sync.Mutex
+	generation  uint64
+	entryLimits map[limitKey]*entryLimit
 }
 
-// key identifies what a limit is set on; fields that it does not concern are empty.
-type key struct {
+// limitKey identifies what a limit applies to; unused fields are empty.
+type limitKey struct {
 	owner   string
 	class   catalogue.Class
 	service string
 }
 
-// NewLimiter returns a Limiter. The function returns the number of live
+// NewLimiter returns a Limiter. The function entries returns the number of live
 // entries that share the limits.
 func NewLimiter(clk clock.Clock, entries func() int) *Limiter {
-	return &Limiter{clk: clk, entries: entries, gates: make(map[key]*gate)}
+	return &Limiter{clk: clk, entries: entries, entryLimits: make(map[limitKey]*entryLimit)}
 }
 
-// Admit takes a request into account until the returned function is called. A
-// refused request takes nothing.
+// Admit counts a request against the limits of its owner, class and service,
+// and returns a function that the caller must call when the request ends. A
+// refused request uses up nothing. Errors are of type *refusal.Error with the
+// kind UnknownOwner, ClassDenied or RateLimited.
 func (l *Limiter) Admit(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error) {
 	o, ok := estate.Owner(owner)
 	if !ok {
@@ -49,60 +52,61 @@
 	now := time.Unix(0, 0).Add(l.clk.Boot())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sweepLocked(estate)
-	taken := make([]*gate, 0, 3)
+	l.removeUnlistedLocked(estate)
+	admitted := make([]*entryLimit, 0, 3)
 	for _, c := range []struct {
-		key    key
+		key    limitKey
 		limits catalogue.Limits
-		of     string
+		scope  string
 	}{
-		{key{owner: owner, class: class}, classLimits, "owner's class"},
-		{key{owner: owner}, o.Limits(), "owner"},
-		{key{service: s.Name()}, s.Limits(), "service"},
+		{limitKey{owner: owner, class: class}, classLimits, "owner's class"},
+		{limitKey{owner: owner}, o.Limits(), "owner"},
+		{limitKey{service: s.Name()}, s.Limits(), "service"},
 	} {
-		g := l.gateLocked(c.key)
-		g.set(now, c.limits, n)
-		if reason := g.take(now); reason != "" {
-			for _, t := range taken {
-				t.undo(now)
+		limit := l.entryLimitLocked(c.key)
+		limit.configure(now, c.limits, n)
+		if reason := limit.admit(now); reason != "" {
+			for _, a := range admitted {
+				a.rollback(now)
 			}
-			return nil, refusal.New(refusal.RateLimited, "%s of the %s at this entry", reason, c.of)
+			return nil, refusal.New(refusal.RateLimited, "%s of the %s exceeded at this entry", reason, c.scope)
 		}
-		taken = append(taken, g)
+		admitted = append(admitted, limit)
 	}
 	var done sync.Once
-	return func() { done.Do(func() { l.release(taken) }) }, nil
+	return func() { done.Do(func() { l.release(admitted) }) }, nil
 }
 
-func (l *Limiter) release(taken []*gate) {
+func (l *Limiter) release(admitted []*entryLimit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, g := range taken {
-		g.inFlight--
-		invariant.Check("admission.in_flight", g.inFlight >= 0, "%d requests in flight", g.inFlight)
+	for _, limit := range admitted {
+		limit.inFlight--
+		invariant.Check("admission.in_flight", limit.inFlight >= 0, "%d requests in flight", limit.inFlight)
 	}
 }
 
-func (l *Limiter) gateLocked(k key) *gate {
-	g := l.gates[k]
-	if g == nil {
-		g = newGate()
-		l.gates[k] = g
+func (l *Limiter) entryLimitLocked(k limitKey) *entryLimit {
+	limit := l.entryLimits[k]
+	if limit == nil {
+		limit = newEntryLimit()
+		l.entryLimits[k] = limit
 	}
-	return g
+	return limit
 }
 
-// sweepLocked removes gates of entries that a newer catalogue does not list.
-func (l *Limiter) sweepLocked(estate catalogue.Estate) {
+// removeUnlistedLocked removes the limits of owners and services that a newer
+// catalogue does not list.
+func (l *Limiter) removeUnlistedLocked(estate catalogue.Estate) {
 	if estate.Generation() == l.generation {
 		return
 	}
 	l.generation = estate.Generation()
-	for k, g := range l.gates {
+	for k, limit := range l.entryLimits {
 		_, owner := estate.Owner(k.owner)
 		_, service := estate.Service(k.service)
-		if !owner && !service && g.inFlight == 0 {
-			delete(l.gates, k)
+		if !owner && !service && limit.inFlight == 0 {
+			delete(l.entryLimits, k)
 		}
 	}
 }
--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -30,8 +30,9 @@
 	}), s
 }
 
-// Guards against an owner or class that is admitted without a limit.
-func TestUnknownOwnersAndClassesAreRefused(t *testing.T) {
+// Guards against admission of an owner that is not in the catalogue, or of a
+// class that the owner may not use.
+func TestAdmitUnknownOwnerOrClass(t *testing.T) {
 	l := NewLimiter(clocktest.New(), func() int { return 1 })
 	estate, s := testEstate(limits(0, 0), limits(0, 0), limits(0, 0))
 	for _, c := range []struct {
@@ -58,17 +59,17 @@
 }
 
 // Guards against an entry that admits more than its part of any limit, and
-// against a refused request that uses up the limits of others.
-func TestEntryAdmitsItsPart(t *testing.T) {
+// against a refused request that uses up other limits.
+func TestAdmitEntryPart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clk := clocktest.New()
 		entries := rapid.IntRange(1, 7).Draw(t, "entries")
 		rates := rapid.SliceOfN(rapid.Float64Range(1, 100), 3, 3).Draw(t, "rates")
-		highest := rapid.SliceOfN(rapid.IntRange(1, 50), 3, 3).Draw(t, "concurrency")
-		estate, s := testEstate(limits(rates[0], highest[0]), limits(rates[1], highest[1]), limits(rates[2], highest[2]))
+		concurrency := rapid.SliceOfN(rapid.IntRange(1, 50), 3, 3).Draw(t, "concurrency")
+		estate, s := testEstate(limits(rates[0], concurrency[0]), limits(rates[1], concurrency[1]), limits(rates[2], concurrency[2]))
 		l := NewLimiter(clk, func() int { return entries })
 		rate := min(rates[0], rates[1], rates[2]) / float64(entries)
-		bound := max(1, min(highest[0], highest[1], highest[2])/entries)
+		bound := max(1, min(concurrency[0], concurrency[1], concurrency[2])/entries)
 		began, admitted := clk.Boot(), 0
 		var open []func()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -78,7 +79,7 @@
 			case 1:
 				if len(open) > 0 {
 					open[0]()
-					open[0]() // A second call must change nothing.
+					open[0]() // A second call must have no effect.
 					open = open[1:]
 				}
 			default:
@@ -97,9 +98,9 @@
 	})
 }
 
-// Guards against tokens lost to refused requests: with one slot in use, many
-// refusals must not delay the next request.
-func TestRefusalTakesNothing(t *testing.T) {
+// Guards against refused requests that use up tokens: many refusals because of
+// a service at its concurrency limit must not delay the next request.
+func TestAdmitRefusalKeepsTokens(t *testing.T) {
 	clk := clocktest.New()
 	l := NewLimiter(clk, func() int { return 1 })
 	estate, s := testEstate(limits(10, 0), limits(10, 0), limits(0, 1))
@@ -109,7 +110,7 @@
 	}
 	for range 100 {
 		if _, err := l.Admit(estate, "desk", catalogue.Interactive, s); err == nil {
-			t.Fatal("service admits two")
+			t.Fatal("service with a concurrency limit of 1 admits a second request")
 		}
 	}
 	release()
--- a/admission/suspectgate.go
+++ b/admission/suspectgate.go
@@ -9,73 +9,80 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// SuspectGate stands before a daemon's homes. It keeps two runs of one suspect from
-// overlapping, and refuses what the entry did not yet know to be suspect.
+// SuspectGate checks requests before they reach the homes of a daemon. It
+// prevents two queries with the same suspect fingerprint from running at the
+// same time, and refuses requests whose entry did not know yet that they are
+// suspect.
 type SuspectGate struct {
 	suspects *Suspects
-	do       func(context.Context, shard.Request) shard.Result
+	run      func(context.Context, shard.Request) shard.Result
 
 	mu      sync.Mutex
-	running map[uint64]run
+	running map[uint64]suspectQuery
 }
 
-// run is a suspect query with requests in flight at this daemon.
-type run struct {
+// suspectQuery is a suspect query with requests in flight at this daemon.
+type suspectQuery struct {
 	id       string
 	requests int
 }
 
-// NewSuspectGate returns a SuspectGate that passes requests to do.
-func NewSuspectGate(s *Suspects, do func(context.Context, shard.Request) shard.Result) *SuspectGate {
-	return &SuspectGate{suspects: s, do: do, running: make(map[uint64]run)}
+// NewSuspectGate returns a SuspectGate that runs requests with run.
+func NewSuspectGate(s *Suspects, run func(context.Context, shard.Request) shard.Result) *SuspectGate {
+	return &SuspectGate{suspects: s, run: run, running: make(map[uint64]suspectQuery)}
 }
 
-// Do runs a request unless its fingerprint forbids it, and records a crash.
-func (t *SuspectGate) Do(ctx context.Context, r shard.Request) shard.Result {
-	crashes := t.suspects.Crashes(r.Fingerprint())
+// Do runs a request and records a crash. It refuses the request if its
+// fingerprint has crashed searchers twice, if it crashed a searcher once and
+// the request is not marked as suspect, or while another query of the same
+// suspect runs.
+func (g *SuspectGate) Do(ctx context.Context, r shard.Request) shard.Result {
+	crashes := g.suspects.Crashes(r.Fingerprint())
 	switch {
 	case crashes >= secondCrash:
 		return refuse(r, refusal.Poisoned, "equal requests crashed searchers twice")
 	case crashes == firstCrash && !r.Suspect():
-		return refuse(r, refusal.Poisoned, "an equal request has just crashed a searcher")
+		return refuse(r, refusal.Poisoned, "an equal request crashed a searcher; the request is not marked as suspect")
 	case r.Suspect():
-		if !t.enter(r) {
+		if !g.acquire(r) {
 			return refuse(r, refusal.Overloaded, "an equal suspect request is running")
 		}
-		defer t.leave(r)
+		defer g.release(r)
 	}
-	res := t.do(ctx, r)
+	res := g.run(ctx, r)
 	if res.Crashed() {
 		if r.Suspect() {
-			t.suspects.RecordRepeatCrash(r.Fingerprint())
+			g.suspects.RecordRepeatCrash(r.Fingerprint())
 		} else {
-			t.suspects.RecordCrash(r.Fingerprint())
+			g.suspects.RecordCrash(r.Fingerprint())
 		}
 	}
 	return res
 }
 
-// enter admits all requests of one query and none of another.
-func (t *SuspectGate) enter(r shard.Request) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	have, ok := t.running[r.Fingerprint()]
-	if ok && have.id != r.ID() {
+// acquire reports whether the request may run: all requests of one query may
+// run at the same time, those of another query with the same fingerprint may
+// not.
+func (g *SuspectGate) acquire(r shard.Request) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	query, ok := g.running[r.Fingerprint()]
+	if ok && query.id != r.ID() {
 		return false
 	}
-	t.running[r.Fingerprint()] = run{id: r.ID(), requests: have.requests + 1}
+	g.running[r.Fingerprint()] = suspectQuery{id: r.ID(), requests: query.requests + 1}
 	return true
 }
 
-func (t *SuspectGate) leave(r shard.Request) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	have := t.running[r.Fingerprint()]
-	if have.requests--; have.requests == 0 {
-		delete(t.running, r.Fingerprint())
+func (g *SuspectGate) release(r shard.Request) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	query := g.running[r.Fingerprint()]
+	if query.requests--; query.requests == 0 {
+		delete(g.running, r.Fingerprint())
 		return
 	}
-	t.running[r.Fingerprint()] = have
+	g.running[r.Fingerprint()] = query
 }
 
 func refuse(r shard.Request, kind refusal.Kind, detail string) shard.Result {
--- a/admission/suspectgate_test.go
+++ b/admission/suspectgate_test.go
@@ -14,13 +14,13 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// bubble is the fake clock of testing/synctest as a clock.Clock.
-type bubble struct {
+// bubbleClock is a clock.Clock on the fake time of testing/synctest.
+type bubbleClock struct {
 	clock.System
 	start time.Time
 }
 
-func (b bubble) Boot() time.Duration { return time.Hour + time.Since(b.start) }
+func (b bubbleClock) Boot() time.Duration { return time.Hour + time.Since(b.start) }
 
 const (
 	poison = 7
@@ -28,29 +28,29 @@
 )
 
 // Guards against a request that crashes searchers more than twice over all
-// daemons while its callers resend it to any of them, against a fingerprint
-// that is refused for ever, and against other requests that suffer.
-func TestPoisonCrashesAtMostTwice(t *testing.T) {
+// daemons while callers resend it to any of them, against a fingerprint that is
+// refused forever, and against refusals of other requests.
+func TestPoisonCrashBound(t *testing.T) {
 	for seed := range uint64(50) {
-		synctest.Test(t, func(t *testing.T) { poisonRun(t, rand.New(rand.NewPCG(seed, 3))) })
+		synctest.Test(t, func(t *testing.T) { runPoison(t, rand.New(rand.NewPCG(seed, 3))) })
 	}
 }
 
-func poisonRun(t *testing.T, rng *rand.Rand) {
-	clk := bubble{start: time.Now()}
+func runPoison(t *testing.T, rng *rand.Rand) {
+	clk := bubbleClock{start: time.Now()}
 	crashes, refused := 0, 0
 	daemons := make([]*Suspects, 3)
 	for i := range daemons {
 		daemons[i] = NewSuspects(clk, func(strikes []*peerpb.CrashStrike) {
 			go func() {
-				time.Sleep(time.Millisecond) // The call to the others.
+				time.Sleep(time.Millisecond) // Delay of the call to the other daemons.
 				for _, d := range daemons {
 					d.Merge(strikes)
 				}
 			}()
 		})
 	}
-	// One home serves the group; any daemon may be the entry.
+	// One daemon is home of the group; any daemon may be the entry.
 	home := NewSuspectGate(daemons[0], func(_ context.Context, r shard.Request) shard.Result {
 		time.Sleep(5 * time.Millisecond)
 		spec := shard.ResultSpec{Ran: refusal.DidRun}
@@ -85,16 +85,16 @@
 	if crashes > secondCrash || refused == 0 {
 		t.Errorf("%d crashes, %d refusals", crashes, refused)
 	}
-	time.Sleep(strikeTime)
+	time.Sleep(strikeTTL)
 	if r := send(100, poison); r.Kind() == refusal.Poisoned {
-		t.Error("fingerprint is still refused after the strike time")
+		t.Error("fingerprint is still refused after strikeTTL")
 	}
 	time.Sleep(time.Second)
 }
 
 // Guards against resends that crash searchers at the homes of other daemons
-// after these have the strike, and against more than two crashes at a daemon that
-// hears of none.
+// after the strike has reached these, and against more than two crashes at a
+// daemon that receives no strikes.
 func TestSequentialResendsToDifferentDaemons(t *testing.T) {
 	const count, spreadTime = 5, time.Millisecond
 	for _, test := range []struct {
@@ -106,7 +106,7 @@
 		{"no strike arrives", false, count * secondCrash},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			clk := bubble{start: time.Now()}
+			clk := bubbleClock{start: time.Now()}
 			crashes, refused := 0, 0
 			daemons, homes := make([]*Suspects, count), make([]*SuspectGate, count)
 			for i := range daemons {
@@ -143,11 +143,11 @@
 	}
 }
 
-// Guards against two runs of one suspect at the same time, and against a
+// Guards against two queries of one suspect at the same time, and against a
 // suspect fan-out that is refused because of its own other shards.
-func TestSuspectRunsAlone(t *testing.T) {
+func TestSuspectGateConcurrentQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewSuspects(bubble{start: time.Now()}, func([]*peerpb.CrashStrike) {})
+		s := NewSuspects(bubbleClock{start: time.Now()}, func([]*peerpb.CrashStrike) {})
 		s.RecordCrash(poison)
 		home := NewSuspectGate(s, func(context.Context, shard.Request) shard.Result {
 			time.Sleep(time.Second)
@@ -177,9 +177,9 @@
 	})
 }
 
-// Guards against a table that grows without bound under a flood of strikes.
-func TestSuspectsAreBounded(t *testing.T) {
-	s := NewSuspects(bubble{start: time.Now()}, func([]*peerpb.CrashStrike) {})
+// Guards against a table that grows without bound when many strikes arrive.
+func TestSuspectsBound(t *testing.T) {
+	s := NewSuspects(bubbleClock{start: time.Now()}, func([]*peerpb.CrashStrike) {})
 	for f := range uint64(maxSuspects + 100) {
 		s.Merge([]*peerpb.CrashStrike{{Fingerprint: f, Crashes: 9, AgeMs: 1}})
 	}
--- a/admission/suspects.go
+++ b/admission/suspects.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// strikeTime is how long a fingerprint is remembered after its latest crash.
-	strikeTime = 10 * time.Minute
-	// maxSuspects bounds the table, at about 50 bytes each.
+	// strikeTTL is how long a strike is kept after the latest crash of its
+	// fingerprint.
+	strikeTTL = 10 * time.Minute
+	// maxSuspects bounds the table; each strike takes about 50 bytes.
 	maxSuspects = 65536
 )
 
-// The crashes that a fingerprint is held responsible for. A fan-out is
-// parallel, so all crashes of its first round count as one.
+// Values of strike.crashes. The shards of a fan-out run in parallel, so all
+// crashes of its first round count as one.
 const (
 	firstCrash  = 1
 	secondCrash = 2
 )
 
-// Suspects holds the fingerprints of requests that crashed searchers.
+// Suspects is the table of fingerprints of requests that crashed searchers. It
+// is safe for concurrent use.
 type Suspects struct {
-	clk    clock.Clock
-	spread func([]*peerpb.CrashStrike)
+	clk       clock.Clock
+	broadcast func([]*peerpb.CrashStrike)
 
 	mu    sync.Mutex
 	table map[uint64]strike
@@ -38,28 +40,28 @@
 	at      time.Duration // Boot time of the latest crash.
 }
 
-// NewSuspects returns an empty table. Its strikes are handed to spread, which
+// NewSuspects returns an empty table. It passes new strikes to broadcast, which
 // must not block.
-func NewSuspects(clk clock.Clock, spread func([]*peerpb.CrashStrike)) *Suspects {
-	return &Suspects{clk: clk, spread: spread, table: make(map[uint64]strike)}
+func NewSuspects(clk clock.Clock, broadcast func([]*peerpb.CrashStrike)) *Suspects {
+	return &Suspects{clk: clk, broadcast: broadcast, table: make(map[uint64]strike)}
 }
 
-// Crashes returns 0, 1 or 2 for a fingerprint.
+// Crashes returns the number of crashes of a fingerprint: 0, 1 or 2.
 func (s *Suspects) Crashes(fingerprint uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return int(s.liveLocked(fingerprint).crashes)
+	return int(s.unexpiredLocked(fingerprint).crashes)
 }
 
-// RecordCrash records a crash under a request that was not yet a suspect.
+// RecordCrash records a crash by a request that was not a suspect.
 func (s *Suspects) RecordCrash(fingerprint uint64) { s.record(fingerprint, firstCrash) }
 
-// RecordRepeatCrash records a crash under a suspect.
+// RecordRepeatCrash records a crash by a suspect request.
 func (s *Suspects) RecordRepeatCrash(fingerprint uint64) { s.record(fingerprint, secondCrash) }
 
-// Clear forgets a fingerprint whose request was answered, so that requests
-// that only were under way when a searcher crashed are served as before.
-// Strikes of before that other daemons still spread are ignored.
+// Clear resets the crashes of a fingerprint after one of its requests was
+// answered, so that requests that were only in flight when a searcher crashed
+// are served again. Older strikes that other daemons still send are ignored.
 func (s *Suspects) Clear(fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,58 +79,61 @@
 
 func (s *Suspects) record(fingerprint uint64, crashes uint32) {
 	meter.Count("admission.strike", 1)
-	if s.raise(fingerprint, crashes, 0) {
-		s.spread([]*peerpb.CrashStrike{{Fingerprint: fingerprint, Crashes: crashes}})
+	if s.update(fingerprint, crashes, 0) {
+		s.broadcast([]*peerpb.CrashStrike{{Fingerprint: fingerprint, Crashes: crashes}})
 	}
 }
 
-// Merge takes in the strikes of another daemon.
+// Merge merges the strikes of another daemon into the table. It skips malformed
+// strikes.
 func (s *Suspects) Merge(strikes []*peerpb.CrashStrike) {
 	for _, c := range strikes {
 		if c == nil || c.AgeMs < 0 || c.Crashes == 0 {
 			continue
 		}
-		s.raise(c.Fingerprint, min(c.Crashes, secondCrash), time.Duration(c.AgeMs)*time.Millisecond)
+		s.update(c.Fingerprint, min(c.Crashes, secondCrash), time.Duration(c.AgeMs)*time.Millisecond)
 	}
 }
 
-// raise reports whether it changed the number of crashes.
-func (s *Suspects) raise(fingerprint uint64, crashes uint32, age time.Duration) bool {
-	if age >= strikeTime {
+// update records a crash count that is higher than the current one. It reports
+// whether it changed the table.
+func (s *Suspects) update(fingerprint uint64, crashes uint32, age time.Duration) bool {
+	if age >= strikeTTL {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	have := s.liveLocked(fingerprint)
+	current := s.unexpiredLocked(fingerprint)
 	at := s.clk.Boot() - age
-	cleared := have.crashes == 0 && have.at > 0 && at <= have.at
-	if have.crashes >= crashes || cleared {
+	cleared := current.crashes == 0 && current.at > 0 && at <= current.at
+	if current.crashes >= crashes || cleared {
 		return false
 	}
 	if len(s.table) >= maxSuspects {
 		s.evictLocked()
 	}
 	s.table[fingerprint] = strike{crashes: crashes, at: at}
-	invariant.Check("admission.suspects_bounded", len(s.table) <= maxSuspects, "%d suspects", len(s.table))
+	invariant.Check("admission.suspects_bounded", len(s.table) <= maxSuspects, "table holds %d suspects", len(s.table))
 	return true
 }
 
-func (s *Suspects) liveLocked(fingerprint uint64) strike {
-	have, ok := s.table[fingerprint]
-	if ok && s.clk.Boot()-have.at >= strikeTime {
+func (s *Suspects) unexpiredLocked(fingerprint uint64) strike {
+	current, ok := s.table[fingerprint]
+	if ok && s.clk.Boot()-current.at >= strikeTTL {
 		delete(s.table, fingerprint)
 		return strike{}
 	}
-	return have
+	return current
 }
 
-// evictLocked removes expired strikes, or else the oldest one.
+// evictLocked removes all expired strikes, or the oldest strike if none has
+// expired.
 func (s *Suspects) evictLocked() {
 	now := s.clk.Boot()
 	var oldest uint64
 	at := time.Duration(1<<63 - 1)
 	for f, k := range s.table {
-		if now-k.at >= strikeTime {
+		if now-k.at >= strikeTTL {
 			delete(s.table, f)
 		} else if k.at < at {
 			oldest, at = f, k.at
@@ -139,7 +144,8 @@
 	}
 }
 
-// CrashReports returns up to limit live strikes, for daemons that missed them.
+// CrashReports returns up to limit unexpired strikes, for daemons that missed
+// them.
 func (s *Suspects) CrashReports(limit int) []*peerpb.CrashStrike {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +155,7 @@
 		if len(list) == limit {
 			break
 		}
-		if k.crashes > 0 && now-k.at < strikeTime {
+		if k.crashes > 0 && now-k.at < strikeTTL {
 			list = append(list, &peerpb.CrashStrike{Fingerprint: f, Crashes: k.crashes, AgeMs: (now - k.at).Milliseconds()})
 		}
 	}
