--- a/home/cold_test.go
+++ b/home/cold_test.go
@@ -27,7 +27,7 @@
 	for seed := range uint64(coldSeeds) {
 		fx := newTwoReplicas(seed, func(fx *fixture) {
 			f := fx.fakes["s00-0"]
-			f.cold, f.claimsReady, f.coldSlow, f.refusesAboveLimit = true, true, 3, false
+			f.cold, f.claimsReady, f.coldSlowdown, f.refusesAboveLimit = true, true, 3, false
 		})
 		fx.load(0.6, 10*time.Second)
 		if f := fx.fakes["s00-0"]; f.aboveColdLimit > 0 || f.ran == 0 {
@@ -48,7 +48,7 @@
 		fx := newTwoReplicas(seed, func(*fixture) {})
 		fx.load(0.3, 5*time.Second)
 		f := fx.fakes["s00-0"]
-		f.cold, f.claimsReady, f.coldSlow, f.refusesAboveLimit = true, true, 5, false
+		f.cold, f.claimsReady, f.coldSlowdown, f.refusesAboveLimit = true, true, 5, false
 		fx.load(0.3, 10*time.Second)
 		// The slow replies that detect the cold start, and the requests in
 		// flight by then.
--- a/home/errors_test.go
+++ b/home/errors_test.go
@@ -40,19 +40,19 @@
 		if full < 0.98 || p95 > 100*time.Millisecond {
 			t.Errorf("seed %d: full coverage %.3f, p95 %v", seed, full, p95)
 		}
-		bad, healthy := 0, 0
+		failing, healthy := 0, 0
 		for _, f := range fx.fakes {
 			f.errors = 0
-			bad -= f.ran * int('1'-f.spec.Name()[4])
+			failing -= f.ran * int('1'-f.spec.Name()[4])
 			healthy -= f.ran * int(f.spec.Name()[4]-'0')
 		}
 		fx.load(0.3, 30*time.Second)
 		for _, f := range fx.fakes {
-			bad += f.ran * int('1'-f.spec.Name()[4])
+			failing += f.ran * int('1'-f.spec.Name()[4])
 			healthy += f.ran * int(f.spec.Name()[4]-'0')
 		}
-		if bad < healthy/3 {
-			t.Errorf("seed %d: %d requests ran on the searchers that failed before, %d on the others", seed, bad, healthy)
+		if failing < healthy/3 {
+			t.Errorf("seed %d: %d requests ran on the searchers that failed before, %d on the others", seed, failing, healthy)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 	fx.load(0.3, 20*time.Second)
 	after, spent := fx.budgetTotals()
 	// Tokens that were saved before may be spent once.
-	if got, most := spent-extra, 0.8*0.05*float64(after-subs)+maxTokens; float64(got) > most || got == 0 {
-		t.Errorf("%d extra requests, the homes' part is %g", got, most)
+	if got, allowed := spent-extra, 0.8*0.05*float64(after-subs)+maxTokens; float64(got) > allowed || got == 0 {
+		t.Errorf("%d extra requests, the homes' part is %g", got, allowed)
 	}
 }
--- a/home/fake_test.go
+++ b/home/fake_test.go
@@ -28,8 +28,8 @@
 	netDelay          time.Duration // Network delay from the home in one direction.
 	slowdown          float64       // Factor of the service time.
 	cold              bool
-	coldSlow          float64 // Factor of the service time while cold; 0 stands for 1.
-	refusesAboveLimit bool    // Refuses requests above the cold limit; otherwise they run. Both are counted in aboveColdLimit.
+	coldSlowdown      float64 // Factor of the service time while cold; 0 stands for 1.
+	refusesAboveLimit bool    // Refuses requests above the cold limit; otherwise runs them. Counts both.
 	refuseAll         bool    // Refuses all requests while cold.
 	claimsReady       bool    // Health replies always report ready.
 	draining          bool
@@ -47,7 +47,7 @@
 	running        int
 	ran            int // Requests that started to run.
 	aboveColdLimit int // Requests that arrived above the cold limit during a cold start.
-	afterDrain     int // Requests that arrived more than 3 s after the start of a drain that the health replies report.
+	afterDrain     int // Requests more than 3 s after the start of a drain that health replies report.
 	drainAt        time.Duration
 	runs           map[string]int // Starts by request id, shared by all fakes of a fixture.
 	calls          map[*fakeCall]struct{}
@@ -264,8 +264,8 @@
 func (f *fake) serviceTime() time.Duration {
 	const sigma = 0.5
 	ms := 10 * math.Exp(sigma*f.rng.NormFloat64()-sigma*sigma/2) * f.slowdown
-	if f.cold && f.coldSlow > 0 {
-		ms *= f.coldSlow
+	if f.cold && f.coldSlowdown > 0 {
+		ms *= f.coldSlowdown
 	}
 	d := time.Duration(ms * float64(time.Millisecond))
 	if f.pauses && f.clk.now%(500*time.Millisecond) < 120*time.Millisecond {
--- a/home/fixture_test.go
+++ b/home/fixture_test.go
@@ -45,7 +45,7 @@
 	crashes        chan uint64
 	runs           map[string]int
 	lease          time.Duration
-	randomLeaseEnd bool // One read of the lease end in 20 returns 0, because another goroutine may end and renew the lease at any time.
+	randomLeaseEnd bool // One read of the lease end in 20 returns 0, as if another goroutine changed it.
 
 	latency []time.Duration // Of complete answers.
 	partial int
--- a/home/group_test.go
+++ b/home/group_test.go
@@ -88,7 +88,7 @@
 	}
 	fx.fakes["s00-0"].wrongLabel, fx.fakes["s00-1"].wrongLabel = true, true
 	if r := fx.sendAndWait(shard.RequestSpec{Idempotent: true, Suspect: true}); r.Attempts() != 1 {
-		t.Errorf("suspect had %d attempts", r.Attempts())
+		t.Errorf("suspect request had %d attempts, want 1", r.Attempts())
 	}
 }
 
@@ -119,13 +119,13 @@
 	before := fx.fakes["s00-0"].ran
 	fx.load(0.3, 5*time.Second)
 	if f := fx.fakes["s00-0"]; f.ran != before || fx.partial > 0 {
-		t.Errorf("%d requests ran there, %d partial answers", f.ran-before, fx.partial)
+		t.Errorf("%d requests ran in the failure domain out of service, %d partial answers", f.ran-before, fx.partial)
 	}
 	fx.domainsOut["d0"] = false
 	fx.apply()
 	fx.load(0.3, 5*time.Second)
 	if fx.fakes["s00-0"].ran == before {
-		t.Error("nothing runs there after its return")
+		t.Error("no request ran in the failure domain after its return to service")
 	}
 }
 
@@ -148,7 +148,7 @@
 		// A cold or busy canary may receive less than its share, but it needs
 		// enough requests for evidence.
 		if got > share+0.001 || got < share/2 {
-			t.Errorf("share %g instead of %g", got, share)
+			t.Errorf("new version got a share of %g, its move share is %g", got, share)
 		}
 	}
 	fx.sets[0].SetMoveShare("svc", "m", 0)
@@ -162,7 +162,7 @@
 		versions[e.Version()] += e.Requests()
 	}
 	if int(versions["v2"]) > canary.ran || versions["v2"] == 0 || versions["v1"] == 0 {
-		t.Errorf("evidence on %v requests", versions)
+		t.Errorf("requests in the evidence by version: %v", versions)
 	}
 }
 
--- a/home/meanlatency.go
+++ b/home/meanlatency.go
@@ -13,7 +13,7 @@
 	n    int
 }
 
-func (u *meanLatency) add(took time.Duration) {
-	u.n = min(u.n+1, meanLatencySamples)
-	u.mean += (float64(took) - u.mean) / float64(u.n)
+func (l *meanLatency) add(took time.Duration) {
+	l.n = min(l.n+1, meanLatencySamples)
+	l.mean += (float64(took) - l.mean) / float64(l.n)
 }
--- a/home/move_test.go
+++ b/home/move_test.go
@@ -92,7 +92,7 @@
 		normal := p99(fx.takeLatencies())
 		for _, f := range fx.fakes {
 			if f.spec.Version() == "v2" {
-				f.cold, f.coldSlow, f.refusesAboveLimit = true, 4, false
+				f.cold, f.coldSlowdown, f.refusesAboveLimit = true, 4, false
 			}
 		}
 		var during time.Duration
@@ -111,9 +111,9 @@
 			t.Errorf("seed %d: %d requests ran on the old version 10 s after the cold start", seed, n)
 		}
 		after := p99(fx.takeLatencies())
-		tooMuch := 0
+		aboveColdLimit := 0
 		for _, f := range fx.fakes {
-			tooMuch += f.aboveColdLimit
+			aboveColdLimit += f.aboveColdLimit
 		}
 		t.Logf("seed %d: p99 before the move %v, highest of a step %v, after the cold start %v", seed, normal, during, after)
 		// The tail-latency bound for a slow searcher at this load; the cold
@@ -121,8 +121,8 @@
 		if max(during, after) > normal*3/2 {
 			t.Errorf("seed %d: p99 %v during the move, %v before", seed, max(during, after), normal)
 		}
-		if tooMuch != 0 || fx.partial != 0 {
-			t.Errorf("seed %d: %d requests above the cold limit, %d partial answers", seed, tooMuch, fx.partial)
+		if aboveColdLimit != 0 || fx.partial != 0 {
+			t.Errorf("seed %d: %d requests above the cold limit, %d partial answers", seed, aboveColdLimit, fx.partial)
 		}
 	}
 }
--- a/home/observe.go
+++ b/home/observe.go
@@ -30,7 +30,7 @@
 	a.member.latency.observeAbandoned(now, float64(took), g.medianLatency)
 	a.member.warmup.recordAbandoned(took)
 	if _, recent, peer := g.referenceLatency(a.member, now); took > slowLatencyFactor*recent {
-		// A shorter time shows neither a fast nor a slow searcher.
+		// An attempt abandoned sooner says nothing about the searcher's speed.
 		a.member.warmup.detectColdStart(now, took, recent, peer)
 	}
 	g.updateMedian()
--- a/home/stress_test.go
+++ b/home/stress_test.go
@@ -70,7 +70,7 @@
 	on := s.rng.IntN(3) == 0
 	switch s.rng.IntN(14) {
 	case 0:
-		f.cold, f.coldSlow = on, 4
+		f.cold, f.coldSlowdown = on, 4
 	case 1:
 		f.refuseAll = on
 	case 2:
--- a/home/warmup.go
+++ b/home/warmup.go
@@ -18,7 +18,7 @@
 	// maxRampLatencyFactor is the highest ratio of a window's mean latency to
 	// the reference at which the limit grows. A mean of initialRampWindow
 	// replies varies by an eighth and the reference by a tenth; with a factor
-	// of 2, a searcher three times slower passed.
+	// of 2, the limit of a searcher three times slower grew by chance.
 	maxRampLatencyFactor = 1.5
 	// coldScore is the slow score at which a warm searcher counts as cold. That
 	// takes as many slow replies in a row, or more with fast ones between them.
@@ -66,7 +66,7 @@
 	coldLimit       int
 	rampLimit       int // Limit of requests in flight while cold.
 	warm            bool
-	knownCold       bool          // The cold start was seen in a health reply, a refusal or the latency; false when the searcher is only new to this home.
+	knownCold       bool          // Cold by its health reply, a refusal or its latency; false if only new to this home.
 	successes       int           // Replies in the ramp window.
 	windowLatency   time.Duration // Sum of latencies in the ramp window.
 	slowScore       float64       // Evidence of a cold start while warm, in slow replies.
@@ -114,12 +114,12 @@
 	w.backoffUntil = now + w.backoff
 }
 
-// recordReply records a reply of a cold searcher and doubles the limit after a
+// recordReply records a reply. It doubles the limit of a cold searcher after a
 // ramp window whose mean latency is normal. The limit does not grow while the
 // searcher itself reports that it is cold or the reference is unknown (0).
-func (w *warmup) recordReply(now, took, reference time.Duration, slots int, claimsCold bool) {
+func (w *warmup) recordReply(now, took, reference time.Duration, slots int, reportsCold bool) {
 	w.backoff = 0
-	if w.warm || claimsCold {
+	if w.warm || reportsCold {
 		return
 	}
 	w.windowLatency += took
@@ -171,7 +171,7 @@
 		return
 	}
 	if now-w.lastSlow > slowScoreTTL {
-		w.slowScore = 0 // limited stays set until fast replies reset it.
+		w.slowScore = 0 // Fast replies reset limited; a pause does not.
 	}
 	w.consecutiveFast, w.lastSlow = 0, now
 	if w.slowScore == 0 {
@@ -187,6 +187,6 @@
 		meter.Count("home.chill.latency", 1)
 		window := w.rampWindow
 		w.markCold(now)
-		w.rampWindow = window // Latency alone does not prove a cold start, so the ramp window is not doubled.
+		w.rampWindow = window // Latency alone proves no cold start: do not double the window.
 	}
 }
