--- a/searcher/call.go
+++ b/searcher/call.go
@@ -7,34 +7,34 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// CallSpec holds the values that NewCall takes.
+// CallSpec holds the values of a Call.
 type CallSpec struct {
 	// ID identifies the request in the reply and in a cancellation.
 	ID string
-	// Shard names the shard that must answer.
+	// Shard is the name of the shard that must answer.
 	Shard string
-	// Route names the kind of request within the service.
+	// Route is the kind of request within the service.
 	Route string
 	// Snapshot is the snapshot that must answer; 0 accepts any.
 	Snapshot uint64
-	// Limit is the highest number of hits; 0 leaves it to the searcher.
+	// Limit is the maximum number of hits; 0 leaves it to the searcher.
 	Limit int
-	// Announced is what the searcher announced for Snapshot; nil when unknown.
+	// Announced is the label that the searcher announced for Snapshot; nil if unknown.
 	Announced *shard.Label
-	// Deadline is the reading of clock.Clock.Boot at which the call ends.
+	// Deadline is when the call ends, as a reading of clock.Clock.Boot.
 	Deadline time.Duration
-	// Patience is the time without a byte of reply after which the connection
-	// is tested; 0 never tests.
+	// Patience is how long to wait for the first byte of the reply before the
+	// searcher is tested over a new connection; 0 disables the test.
 	Patience time.Duration
 	// Run marks a non-idempotent request.
 	Run bool
-	// Body is the opaque request.
+	// Body is the request body, which this package does not interpret.
 	Body []byte
-	// Permit is asked immediately before the first byte is written; a refusal
-	// ends the call as not run. Nil permits.
+	// Permit is called immediately before the first byte is written. If it
+	// returns a refusal, the call fails as not run. Nil permits every call.
 	Permit func() *refusal.Error
-	// OnSilent is called when Patience has passed and a new connection to the
-	// searcher works. Nil ignores it.
+	// OnSilent is called when Patience has passed without a reply but the
+	// searcher answers over a new connection. It may be nil.
 	OnSilent func()
 }
 
@@ -43,40 +43,42 @@
 	spec CallSpec
 }
 
-// NewCall returns the immutable Call that spec describes.
+// NewCall returns an immutable Call with the values of spec.
 func NewCall(spec CallSpec) Call { return Call{spec: spec} }
 
-// ID identifies the request in the reply and in a cancellation.
+// ID returns the id of the request, used in the reply and in a cancellation.
 func (c Call) ID() string { return c.spec.ID }
 
-// Shard names the shard that must answer.
+// Shard returns the name of the shard that must answer.
 func (c Call) Shard() string { return c.spec.Shard }
 
-// Route names the kind of request within the service.
+// Route returns the kind of request within the service.
 func (c Call) Route() string { return c.spec.Route }
 
-// Snapshot is the snapshot that must answer; 0 accepts any.
+// Snapshot returns the snapshot that must answer; 0 accepts any.
 func (c Call) Snapshot() uint64 { return c.spec.Snapshot }
 
-// Limit is the highest number of hits; 0 leaves it to the searcher.
+// Limit returns the maximum number of hits; 0 leaves it to the searcher.
 func (c Call) Limit() int { return c.spec.Limit }
 
-// Announced is what the searcher announced for Snapshot; nil when unknown.
+// Announced returns the label that the searcher announced for Snapshot, or nil
+// if unknown.
 func (c Call) Announced() *shard.Label { return c.spec.Announced }
 
-// Deadline is the reading of clock.Clock.Boot at which the call ends.
+// Deadline returns when the call ends, as a reading of clock.Clock.Boot.
 func (c Call) Deadline() time.Duration { return c.spec.Deadline }
 
-// Patience is the time without a byte of reply after which the connection is tested.
+// Patience returns how long to wait for the first byte of the reply before the
+// searcher is tested over a new connection; 0 disables the test.
 func (c Call) Patience() time.Duration { return c.spec.Patience }
 
-// Run marks a non-idempotent request.
+// Run reports whether the request is non-idempotent.
 func (c Call) Run() bool { return c.spec.Run }
 
-// Body is the opaque request.
+// Body returns the request body.
 func (c Call) Body() []byte { return c.spec.Body }
 
-// Permit returns a refusal when the call must not be sent any more.
+// Permit returns a refusal if the call must no longer be sent, or nil.
 func (c Call) Permit() *refusal.Error {
 	if c.spec.Permit == nil {
 		return nil
@@ -84,7 +86,8 @@
 	return c.spec.Permit()
 }
 
-// ReportSilent reports that the connection of the call is silent though the searcher answers.
+// ReportSilent calls OnSilent, if set: the connection of the call is silent
+// although the searcher answers over a new one.
 func (c Call) ReportSilent() {
 	if c.spec.OnSilent != nil {
 		c.spec.OnSilent()
--- a/searcher/conn.go
+++ b/searcher/conn.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// conn is one keep-alive connection. It notes whether any byte of the current
-// request was written, because only then may the request have run.
+// conn is one keep-alive connection. It records whether any byte of the current
+// request was written, because the request cannot have run otherwise.
 type conn struct {
 	net.Conn
 	r     *bufio.Reader
 	w     *bufio.Writer
 	wrote atomic.Bool
-	age   uint64 // Value of the pool's epoch when the connection was made.
+	epoch uint64 // pool.epoch at the time of the connect.
 }
 
-func newConn(nc net.Conn, age uint64) *conn {
-	c := &conn{Conn: nc, age: age}
+func newConn(nc net.Conn, epoch uint64) *conn {
+	c := &conn{Conn: nc, epoch: epoch}
 	c.r = bufio.NewReader(nc)
-	c.w = bufio.NewWriter(writeNoter{c})
+	c.w = bufio.NewWriter(writeTracker{c})
 	return c
 }
 
-type writeNoter struct{ c *conn }
+// writeTracker sets conn.wrote once a byte reaches the connection.
+type writeTracker struct{ c *conn }
 
-func (w writeNoter) Write(p []byte) (int, error) {
+func (w writeTracker) Write(p []byte) (int, error) {
 	n, err := w.c.Conn.Write(p)
 	if n > 0 {
 		w.c.wrote.Store(true)
@@ -35,14 +36,15 @@
 	return n, err
 }
 
-// past interrupts reads and writes in progress when it is set as a deadline.
-var past = time.Unix(1, 0)
+// expiredDeadline is in the past; setting it as a deadline interrupts reads and
+// writes in progress.
+var expiredDeadline = time.Unix(1, 0)
 
-func (c *conn) interrupt() { _ = c.SetDeadline(past) }
+func (c *conn) interrupt() { _ = c.SetDeadline(expiredDeadline) }
 
-// clean reports whether an idle connection is open and has no unread bytes.
-// Unread bytes are a second reply to an earlier request.
-func (c *conn) clean() bool {
+// isReusable reports whether an idle connection is open and has no unread
+// bytes. Unread bytes belong to a second reply to an earlier request.
+func (c *conn) isReusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
--- a/searcher/side.go
+++ b/searcher/control.go
@@ -11,36 +11,38 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// sideReplyLimit bounds answers to health requests and cancellations in bytes.
-const sideReplyLimit = 64 << 10
+// maxControlReplyBytes limits replies to health requests and cancellations.
+const maxControlReplyBytes = 64 << 10
 
-// ask requests the health of the searcher.
-func (h *HTTP) ask(ctx context.Context, fresh bool) (Health, *Failure) {
-	body, failure := h.side(ctx, fresh, fasthttp.MethodGet, "/v1/health", "")
+// fetchHealth requests the health of the searcher, over a new connection if
+// fresh is set.
+func (h *HTTP) fetchHealth(ctx context.Context, fresh bool) (Health, *Failure) {
+	body, failure := h.controlRequest(ctx, fresh, fasthttp.MethodGet, "/v1/health", "")
 	if failure != nil {
 		return Health{}, failure
 	}
 	return decodeHealth(body)
 }
 
-// cancel tells the searcher to stop working on a request.
-func (h *HTTP) cancel(ctx context.Context, id string) {
-	if _, failure := h.side(ctx, false, fasthttp.MethodPost, "/v1/cancel", id); failure != nil {
+// cancelRequest asks the searcher to stop the request with the given id.
+func (h *HTTP) cancelRequest(ctx context.Context, id string) {
+	if _, failure := h.controlRequest(ctx, false, fasthttp.MethodPost, "/v1/cancel", id); failure != nil {
 		meter.Count("searcher.cancel.failed", 1)
 		return
 	}
 	meter.Count("searcher.cancel.sent", 1)
 }
 
-// side makes one small request besides searches and returns the reply's body.
-func (h *HTTP) side(ctx context.Context, fresh bool, method, path, id string) ([]byte, *Failure) {
+// controlRequest sends a health request or a cancellation and returns the body
+// of the reply. An empty id omits the X-Request-Id header.
+func (h *HTTP) controlRequest(ctx context.Context, fresh bool, method, path, id string) ([]byte, *Failure) {
 	c, err := h.pool.get(ctx, fresh)
 	if err != nil {
 		return nil, connectFailure(ctx, err)
 	}
 	stop := context.AfterFunc(ctx, c.interrupt)
-	sound := false
-	defer func() { h.pool.put(c, stop() && sound) }()
+	reusable := false
+	defer func() { h.pool.put(c, stop() && reusable) }()
 
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -52,14 +54,14 @@
 		req.Header.Set("X-Request-Id", id)
 	}
 	if err = writeRequest(c, req); err == nil {
-		err = resp.ReadLimitBody(c.r, sideReplyLimit)
+		err = resp.ReadLimitBody(c.r, maxControlReplyBytes)
 	}
 	if err != nil {
 		return nil, NewFailure(FaultBroken, refusal.New(refusal.SearcherFailed, "%s %s: %v", method, path, err))
 	}
-	sound = !resp.ConnectionClose()
+	reusable = !resp.ConnectionClose()
 	if resp.StatusCode()/100 != 2 {
-		return nil, NewFailure(FaultStatus, refusal.New(refusal.SearcherFailed, "%s answered %d", path, resp.StatusCode()))
+		return nil, NewFailure(FaultStatus, refusal.New(refusal.SearcherFailed, "%s: searcher returned HTTP status %d", path, resp.StatusCode()))
 	}
 	return append([]byte(nil), resp.Body()...), nil
 }
@@ -71,8 +73,8 @@
 	return c.w.Flush()
 }
 
-// connectFailure is the end of a call for which no connection was had, so that
-// it cannot have run.
+// connectFailure returns the failure of a call that got no connection and
+// therefore cannot have run.
 func connectFailure(ctx context.Context, err error) *Failure {
 	if ctx.Err() != nil {
 		return endFailure(ctx, FaultNone, refusal.NotRun)
@@ -81,15 +83,16 @@
 	if errors.Is(err, errPoolClosed) {
 		fault = FaultNone
 	}
-	e := refusal.New(refusal.SearcherFailed, "%v", fmt.Errorf("connect: %w", err))
+	e := refusal.New(refusal.SearcherFailed, "%v", fmt.Errorf("connect to searcher: %w", err))
 	return NewFailure(fault, e.WithRan(refusal.NotRun))
 }
 
-// endFailure is the end of a call whose context ended.
+// endFailure returns the failure of a call whose context ended by its deadline
+// or a cancellation.
 func endFailure(ctx context.Context, fault Fault, ran refusal.Ran) *Failure {
 	kind := refusal.Cancelled
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		kind = refusal.Deadline
 	}
-	return NewFailure(fault, refusal.New(kind, "call ended before the reply").WithRan(ran))
+	return NewFailure(fault, refusal.New(kind, "call ended before the reply arrived").WithRan(ran))
 }
--- a/searcher/decode.go
+++ b/searcher/decode.go
@@ -11,8 +11,8 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// maxHits bounds the hits of one reply; the size limit alone would admit
-// millions of empty ones.
+// maxHits is the maximum number of hits in one reply. The limit in bytes alone
+// would allow millions of empty hits.
 const maxHits = 100_000
 
 type wireLabel struct {
@@ -26,16 +26,16 @@
 
 func (w wireLabel) label() shard.Label { return shard.NewLabel(shard.LabelSpec(w)) }
 
-func (w wireLabel) check() error {
+func (w wireLabel) validate() error {
 	switch {
 	case w.Snapshot == 0:
-		return errors.New("snapshot is missing")
+		return errors.New("snapshot is missing or 0")
 	case w.Map == "":
 		return errors.New("partition map is missing")
 	case w.Low >= w.High:
 		return fmt.Errorf("range [%d, %d) is empty", w.Low, w.High)
 	case w.Documents > w.Total:
-		return fmt.Errorf("%d documents of %d in all", w.Documents, w.Total)
+		return fmt.Errorf("shard has %d documents, but the total is %d", w.Documents, w.Total)
 	}
 	return nil
 }
@@ -67,42 +67,43 @@
 	return NewFailure(FaultReply, refusal.New(refusal.BadReply, format, args...))
 }
 
-// strict decodes exactly one JSON value; trailing bytes are a second reply.
-func strict(body []byte, into any) error {
+// decodeStrict decodes exactly one JSON value. It rejects trailing bytes, which
+// belong to a second reply.
+func decodeStrict(body []byte, out any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(out); err != nil {
 		return err
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("bytes follow the value")
+		return errors.New("unexpected data after the JSON value")
 	}
 	return nil
 }
 
-// decodeReply checks a 200 reply against the call that it should answer.
+// decodeReply decodes the body of a 200 reply and checks it against the call.
 func decodeReply(c Call, body []byte) (Reply, *Failure) {
 	var w wireReply
-	if err := strict(body, &w); err != nil {
-		return Reply{}, badReply("reply cannot be decoded: %v", err)
+	if err := decodeStrict(body, &w); err != nil {
+		return Reply{}, badReply("decode reply: %v", err)
 	}
 	if w.ID != c.ID() {
-		return Reply{}, badReply("reply is for request %.64q", w.ID)
+		return Reply{}, badReply("reply has request id %.64q, not that of the call", w.ID)
 	}
 	if w.Shard != c.Shard() {
-		return Reply{}, badReply("reply is from shard %.64q, not %q", w.Shard, c.Shard())
+		return Reply{}, badReply("reply is from shard %.64q, want %q", w.Shard, c.Shard())
 	}
-	if err := w.check(); err != nil {
-		return Reply{}, badReply("reply has a bad label: %v", err)
+	if err := w.validate(); err != nil {
+		return Reply{}, badReply("reply has an invalid label: %v", err)
 	}
 	if c.Snapshot() != 0 && w.Snapshot != c.Snapshot() {
-		return Reply{}, badReply("reply is from snapshot %d, not %d", w.Snapshot, c.Snapshot())
+		return Reply{}, badReply("reply is from snapshot %d, want %d", w.Snapshot, c.Snapshot())
 	}
 	label := w.label()
 	if a := c.Announced(); a != nil && *a != label {
-		return Reply{}, badReply("reply has label %+v, announced was %+v", w.wireLabel, *a)
+		return Reply{}, badReply("reply has label %+v, searcher announced %+v", w.wireLabel, *a)
 	}
 	if len(w.Hits) > maxHits {
-		return Reply{}, badReply("reply has %d hits", len(w.Hits))
+		return Reply{}, badReply("reply has too many hits: %d", len(w.Hits))
 	}
 	hits := make([]shard.Hit, len(w.Hits))
 	for i, h := range w.Hits {
@@ -113,17 +114,17 @@
 
 func decodeHealth(body []byte) (Health, *Failure) {
 	var w wireHealth
-	if err := strict(body, &w); err != nil {
-		return Health{}, badReply("health cannot be decoded: %v", err)
+	if err := decodeStrict(body, &w); err != nil {
+		return Health{}, badReply("decode health reply: %v", err)
 	}
 	state := State(w.State)
 	if state != Ready && state != Cold && state != Draining {
-		return Health{}, badReply("health has state %.64q", w.State)
+		return Health{}, badReply("health reply has unknown state %.64q", w.State)
 	}
 	labels := make([]shard.Label, 0, len(w.Snapshots))
 	for _, s := range w.Snapshots {
-		if err := s.check(); err != nil {
-			return Health{}, badReply("health has a bad label: %v", err)
+		if err := s.validate(); err != nil {
+			return Health{}, badReply("health reply has an invalid label: %v", err)
 		}
 		labels = append(labels, s.label())
 	}
--- a/searcher/exchange.go
+++ b/searcher/exchange.go
@@ -13,17 +13,18 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// exchange is one call on one connection.
+// exchange is the execution of one call over one connection.
 type exchange struct {
-	h      *HTTP
-	call   Call
-	ctx    context.Context
-	conn   *conn
-	silent atomic.Bool // The patience test found that only this connection is silent.
+	h          *HTTP
+	call       Call
+	ctx        context.Context
+	conn       *conn
+	connSilent atomic.Bool // Set when a new connection got an answer while this one was silent.
 }
 
-// run performs the call. A caller that gives up is answered only after the
-// searcher was told, so that its slot is not counted as free too early.
+// run executes the call. If the caller cancels it, run returns only after the
+// cancellation was sent to the searcher, so that its slot is not counted as
+// free too early.
 func (x *exchange) run() (Reply, *Failure) {
 	c, err := x.h.pool.get(x.ctx, false)
 	if err != nil {
@@ -35,49 +36,49 @@
 		return Reply{}, NewFailure(FaultNone, r.WithRan(refusal.NotRun))
 	}
 	stop := context.AfterFunc(x.ctx, c.interrupt)
-	reply, failure, reuse := x.exchange()
-	ended := !stop()
-	x.h.pool.put(c, reuse && !ended)
-	if failure == nil || !ended || failure.Fault() != FaultBroken {
-		return reply, x.checkCrash(failure)
+	reply, failure, reuse := x.roundTrip()
+	interrupted := !stop()
+	x.h.pool.put(c, reuse && !interrupted)
+	if failure == nil || !interrupted || failure.Fault() != FaultBroken {
+		return reply, x.detectCrash(failure)
 	}
-	return Reply{}, x.abandon()
+	return Reply{}, x.cancelAtSearcher()
 }
 
-// exchange writes the request, reads the reply and reports whether the
-// connection can serve another request.
-func (x *exchange) exchange() (reply Reply, failure *Failure, reuse bool) {
+// roundTrip writes the request and reads the reply. It reports in reuse whether
+// the connection can serve another request.
+func (x *exchange) roundTrip() (reply Reply, failure *Failure, reuse bool) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	x.fill(req)
+	x.buildRequest(req)
 	if err := writeRequest(x.conn, req); err != nil {
-		return Reply{}, x.broken(err), false
+		return Reply{}, x.brokenFailure(err), false
 	}
-	stop := x.watch()
+	stop := x.watchSilence()
 	_, err := x.conn.r.Peek(1)
 	stop()
 	if err != nil {
-		return Reply{}, x.broken(err), false
+		return Reply{}, x.brokenFailure(err), false
 	}
-	if err := resp.ReadLimitBody(x.conn.r, x.h.replyLimit); err != nil {
+	if err := resp.ReadLimitBody(x.conn.r, x.h.maxReplyBytes); err != nil {
 		if x.ctx.Err() != nil {
-			return Reply{}, x.broken(err), false
+			return Reply{}, x.brokenFailure(err), false
 		}
 		if errors.Is(err, fasthttp.ErrBodyTooLarge) {
-			e := refusal.New(refusal.TooLarge, "reply is larger than %d bytes", x.h.replyLimit)
+			e := refusal.New(refusal.TooLarge, "reply is larger than %d bytes", x.h.maxReplyBytes)
 			return Reply{}, NewFailure(FaultReply, e.WithRan(refusal.DidRun)), false
 		}
-		return Reply{}, badReply("reply cannot be read: %v", err), false
+		return Reply{}, badReply("read reply: %v", err), false
 	}
 	if x.conn.r.Buffered() > 0 {
-		return Reply{}, badReply("bytes follow the reply"), false
+		return Reply{}, badReply("unexpected data after the reply"), false
 	}
 	reply, failure = x.classify(resp)
 	return reply, failure, !resp.ConnectionClose() && (failure == nil || failure.Fault() != FaultReply)
 }
 
-func (x *exchange) fill(req *fasthttp.Request) {
+func (x *exchange) buildRequest(req *fasthttp.Request) {
 	path := "/v1/search"
 	if x.call.Run() {
 		path = "/v1/run"
@@ -108,13 +109,14 @@
 		e := refusal.New(refusal.SnapshotGone, "searcher does not hold snapshot %d", x.call.Snapshot())
 		return Reply{}, NewFailure(FaultSnapshot, e)
 	case status == fasthttp.StatusServiceUnavailable && string(resp.Header.Peek("X-Ran")) == "no":
-		return Reply{}, refused(string(resp.Header.Peek("X-Reason")))
+		return Reply{}, refusalFailure(string(resp.Header.Peek("X-Reason")))
 	}
-	return Reply{}, NewFailure(FaultStatus, refusal.New(refusal.SearcherFailed, "searcher answered %d", status))
+	return Reply{}, NewFailure(FaultStatus, refusal.New(refusal.SearcherFailed, "searcher returned HTTP status %d", status))
 }
 
-// refused is a refusal by the searcher that proves that the request did not run.
-func refused(reason string) *Failure {
+// refusalFailure returns the failure for a refusal by the searcher, which proves
+// that the request did not run.
+func refusalFailure(reason string) *Failure {
 	switch reason {
 	case "cold":
 		return NewFailure(FaultCold, refusal.New(refusal.Cold, "searcher is in a cold start"))
@@ -124,54 +126,57 @@
 	return NewFailure(FaultShed, refusal.New(refusal.Overloaded, "searcher sheds load: %.64s", reason))
 }
 
-func (x *exchange) broken(err error) *Failure {
-	e := refusal.New(refusal.SearcherFailed, "connection broke: %v", err)
+func (x *exchange) brokenFailure(err error) *Failure {
+	e := refusal.New(refusal.SearcherFailed, "connection to searcher broke: %v", err)
 	if !x.conn.wrote.Load() {
 		e = e.WithRan(refusal.NotRun)
 	}
 	return NewFailure(FaultBroken, e)
 }
 
-// checkCrash finds out whether a connection broke because the searcher died
-// with the request, which makes the request suspect.
-func (x *exchange) checkCrash(f *Failure) *Failure {
+// detectCrash turns a broken connection into FaultCrashed if the searcher
+// restarted or no longer answers. The request may have caused the crash and
+// becomes suspect.
+func (x *exchange) detectCrash(f *Failure) *Failure {
 	if f == nil || f.Fault() != FaultBroken || f.Ran() == refusal.NotRun || !x.h.restarted() {
 		return f
 	}
 	return NewFailure(FaultCrashed, f.Error)
 }
 
-// abandon tells the searcher that nobody waits for the reply any more.
-func (x *exchange) abandon() *Failure {
+// cancelAtSearcher sends a cancellation to the searcher, unless no byte of the
+// request was written, and returns the failure of the call.
+func (x *exchange) cancelAtSearcher() *Failure {
 	if !x.conn.wrote.Load() {
 		return endFailure(x.ctx, FaultNone, refusal.NotRun)
 	}
 	fault := FaultSilent
-	if x.silent.Load() {
+	if x.connSilent.Load() {
 		fault = FaultConnection
 		meter.Count("searcher.connection.silent", 1)
-		x.h.pool.expire()
+		x.h.pool.invalidate()
 	}
-	ctx, stop := clock.WithDeadline(context.Background(), x.h.clock, x.h.clock.Boot()+sideTimeout)
+	ctx, stop := clock.WithDeadline(context.Background(), x.h.clock, x.h.clock.Boot()+controlTimeout)
 	defer stop()
-	x.h.cancel(ctx, x.call.ID())
+	x.h.cancelRequest(ctx, x.call.ID())
 	return endFailure(x.ctx, fault, refusal.Unknown)
 }
 
-// watch tests the searcher over a new connection once the patience of the call
-// has passed without a byte of reply.
-func (x *exchange) watch() (stop func()) {
+// watchSilence requests the health of the searcher over a new connection once
+// call.Patience has passed without a byte of the reply. This tells a silent
+// connection from a silent searcher.
+func (x *exchange) watchSilence() (stop func()) {
 	if x.call.Patience() <= 0 {
 		return func() {}
 	}
 	var answered atomic.Bool
 	timer := x.h.clock.AfterFunc(x.call.Patience(), func() {
-		ctx, cancel := clock.WithDeadline(x.ctx, x.h.clock, x.h.clock.Boot()+sideTimeout)
+		ctx, cancel := clock.WithDeadline(x.ctx, x.h.clock, x.h.clock.Boot()+controlTimeout)
 		defer cancel()
-		if _, failure := x.h.ask(ctx, true); failure != nil || answered.Load() || x.ctx.Err() != nil {
+		if _, failure := x.h.fetchHealth(ctx, true); failure != nil || answered.Load() || x.ctx.Err() != nil {
 			return
 		}
-		x.silent.Store(true)
+		x.connSilent.Store(true)
 		x.call.ReportSilent()
 	})
 	return func() {
--- a/searcher/failure.go
+++ b/searcher/failure.go
@@ -2,7 +2,8 @@
 
 import "medlaryard.example/medlaryard/refusal"
 
-// Failure is the end of a call without a valid reply.
+// Failure describes why a call got no valid reply. The embedded refusal states
+// whether the request ran.
 type Failure struct {
 	*refusal.Error
 	fault Fault
@@ -13,7 +14,7 @@
 	return &Failure{Error: err, fault: fault}
 }
 
-// Fault is what the failure says about the searcher.
+// Fault returns what the failure implies about the searcher.
 func (f *Failure) Fault() Fault { return f.fault }
 
 // Unwrap returns the refusal, so that refusal.Of finds it.
--- a/searcher/fault.go
+++ b/searcher/fault.go
@@ -1,33 +1,39 @@
 package searcher
 
-// Fault is what a failed call says about its searcher.
+// Fault classifies a failed call by what it implies about the searcher.
 type Fault int
 
 // The faults.
 const (
-	// FaultNone says nothing about the searcher.
+	// FaultNone implies nothing about the searcher.
 	FaultNone Fault = iota
-	// FaultShed is a refusal because of load.
+	// FaultShed means that the searcher refused the request because of load.
 	FaultShed
-	// FaultCold is a refusal because of a cold start.
+	// FaultCold means that the searcher refused the request during a cold start.
 	FaultCold
-	// FaultDraining is a refusal because the searcher is leaving.
+	// FaultDraining means that the searcher refused the request because it is
+	// shutting down.
 	FaultDraining
-	// FaultSnapshot is a refusal because the snapshot is not held.
+	// FaultSnapshot means that the searcher does not hold the snapshot.
 	FaultSnapshot
-	// FaultReply is a reply that cannot be decoded or carries the wrong labels.
+	// FaultReply means that the reply is malformed, exceeds a limit or does not
+	// match the call.
 	FaultReply
-	// FaultStatus is an error answer.
+	// FaultStatus means that the searcher returned an error status.
 	FaultStatus
-	// FaultConnect means that no connection could be made.
+	// FaultConnect means that no connection could be established.
 	FaultConnect
-	// FaultBroken is a broken connection while the searcher lives on.
+	// FaultBroken means that the connection broke and no crash of the searcher was
+	// detected.
 	FaultBroken
-	// FaultCrashed is a broken connection and a searcher that restarted or is gone.
+	// FaultCrashed means that the connection broke and the searcher restarted or
+	// no longer answers.
 	FaultCrashed
-	// FaultSilent is a connection without any reply until the deadline.
+	// FaultSilent means that the call ended, by its deadline or a cancellation,
+	// before a complete reply arrived.
 	FaultSilent
-	// FaultConnection is the same while a new connection to the searcher works.
+	// FaultConnection is FaultSilent when the searcher answered over a new
+	// connection in the meantime.
 	FaultConnection
 )
 
@@ -35,5 +41,5 @@
 	"none", "shed", "cold", "draining", "snapshot", "reply", "status", "connect", "broken", "crashed", "silent", "connection",
 }
 
-// String returns the fault as it stands in counters and logs.
+// String returns the name of the fault in metrics and logs.
 func (f Fault) String() string { return faultNames[f] }
--- a/searcher/health.go
+++ b/searcher/health.go
@@ -2,7 +2,8 @@
 
 import "medlaryard.example/medlaryard/shard"
 
-// State is what a searcher claims about itself; it lags behind or misleads.
+// State is the state that a searcher reports about itself. It may be outdated
+// or wrong.
 type State string
 
 // The values of State.
@@ -12,39 +13,39 @@
 	Draining State = "draining"
 )
 
-// HealthSpec holds the values that NewHealth takes.
+// HealthSpec holds the values of a Health.
 type HealthSpec struct {
-	// State is the claimed state.
+	// State is the reported state.
 	State State
 	// Version is the back-end version.
 	Version string
-	// Boot identifies the process; another value means a restart.
+	// Boot identifies the searcher process; it changes with each restart.
 	Boot string
-	// InFlight is the number of requests that the searcher says it runs.
+	// InFlight is the number of running requests that the searcher reports.
 	InFlight int
-	// Labels are the snapshots that the searcher holds.
+	// Labels describe the snapshots that the searcher holds.
 	Labels []shard.Label
 }
 
-// Health is a health answer of a searcher.
+// Health is the checked health reply of a searcher.
 type Health struct {
 	spec HealthSpec
 }
 
-// NewHealth returns the immutable Health that spec describes.
+// NewHealth returns an immutable Health with the values of spec.
 func NewHealth(spec HealthSpec) Health { return Health{spec: spec} }
 
-// State is the claimed state.
+// State returns the reported state.
 func (h Health) State() State { return h.spec.State }
 
-// Version is the back-end version.
+// Version returns the back-end version.
 func (h Health) Version() string { return h.spec.Version }
 
-// Boot identifies the process; another value means a restart.
+// Boot returns the id of the searcher process; it changes with each restart.
 func (h Health) Boot() string { return h.spec.Boot }
 
-// InFlight is the number of requests that the searcher says it runs.
+// InFlight returns the number of running requests that the searcher reports.
 func (h Health) InFlight() int { return h.spec.InFlight }
 
-// Labels are the snapshots that the searcher holds.
+// Labels returns the labels of the snapshots that the searcher holds.
 func (h Health) Labels() []shard.Label { return h.spec.Labels }
--- a/searcher/http.go
+++ b/searcher/http.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// defaultReplyLimit bounds a reply in bytes.
-	defaultReplyLimit = 4 << 20
-	// connectTimeout is far above the 6 ms that a new connection takes.
+	// defaultMaxReplyBytes is the default limit of WithReplyLimit.
+	defaultMaxReplyBytes = 4 << 20
+	// connectTimeout bounds one TCP connect; a connect takes about 6 ms.
 	connectTimeout = 250 * time.Millisecond
-	// sideTimeout bounds health requests, tests of a connection and cancellations.
-	sideTimeout = 250 * time.Millisecond
+	// controlTimeout bounds one health request or cancellation.
+	controlTimeout = 250 * time.Millisecond
 )
 
-// HTTPOption changes how NewHTTP builds an adapter.
+// HTTPOption configures an adapter made by NewHTTP.
 type HTTPOption func(*HTTP)
 
-// WithClock replaces the clock of the machine.
+// WithClock sets the clock; the default is the system clock.
 func WithClock(c clock.Clock) HTTPOption { return func(h *HTTP) { h.clock = c } }
 
-// WithDial replaces TCP.
+// WithDial sets the function that opens connections; the default dials TCP.
 func WithDial(dial func(ctx context.Context, address string) (net.Conn, error)) HTTPOption {
 	return func(h *HTTP) { h.dial = dial }
 }
 
-// WithReplyLimit sets the largest reply in bytes.
-func WithReplyLimit(n int) HTTPOption { return func(h *HTTP) { h.replyLimit = n } }
+// WithReplyLimit sets the maximum size of a search reply in bytes.
+func WithReplyLimit(n int) HTTPOption { return func(h *HTTP) { h.maxReplyBytes = n } }
 
-// HTTP is the adapter for the HTTP/1.1 target protocol.
+// HTTP sends calls to one searcher over the HTTP/1.1 protocol.
 type HTTP struct {
-	address    string
-	clock      clock.Clock
-	dial       func(ctx context.Context, address string) (net.Conn, error)
-	replyLimit int
-	pool       *pool
-	boot       atomic.Pointer[string] // From the last health answer; nil before the first.
+	address       string
+	clock         clock.Clock
+	dial          func(ctx context.Context, address string) (net.Conn, error)
+	maxReplyBytes int
+	pool          *pool
+	lastBoot      atomic.Pointer[string] // From the last health reply; nil before the first.
 }
 
-// NewHTTP returns an adapter without connections; Resize permits the first.
+// NewHTTP returns an adapter for the searcher at address. It may not open any
+// connection until Target.Resize sets a limit above 0.
 func NewHTTP(address string, opts ...HTTPOption) *HTTP {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	h := &HTTP{
-		address:    address,
-		clock:      clock.System{},
-		replyLimit: defaultReplyLimit,
+		address:       address,
+		clock:         clock.System{},
+		maxReplyBytes: defaultMaxReplyBytes,
 		dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		},
@@ -66,7 +67,7 @@
 	return NewHTTP(s.Address(), opts...).Target()
 }
 
-// Target returns the adapter behind the seam that homes use.
+// Target returns a Target that is backed by h.
 func (h *HTTP) Target() *Target {
 	return NewTarget(TargetSpec{
 		Send:   h.send,
@@ -92,32 +93,34 @@
 
 func (h *HTTP) health(done func(Health, *Failure)) {
 	go func() {
-		ctx, cancel := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+sideTimeout)
+		ctx, cancel := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+controlTimeout)
 		defer cancel()
-		health, failure := h.ask(ctx, false)
+		health, failure := h.fetchHealth(ctx, false)
 		if failure != nil && failure.Fault() != FaultReply {
-			// A silent or stale connection must not make a sound searcher look lost.
-			again, stop := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+sideTimeout)
-			defer stop()
-			health, failure = h.ask(again, true)
+			// A silent or stale connection must not make a healthy searcher look
+			// unreachable; retry over a new one.
+			retryCtx, retryCancel := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+controlTimeout)
+			defer retryCancel()
+			health, failure = h.fetchHealth(retryCtx, true)
 		}
 		if failure == nil {
 			boot := health.Boot()
-			h.boot.Store(&boot)
+			h.lastBoot.Store(&boot)
 		}
 		done(health, failure)
 	}()
 }
 
-// restarted asks over a new connection whether the searcher still is the
-// process that the last health answer came from.
+// restarted requests the health of the searcher over a new connection. It
+// reports whether the searcher does not answer, or is no longer the process
+// that sent the last health reply.
 func (h *HTTP) restarted() bool {
-	ctx, cancel := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+sideTimeout)
+	ctx, cancel := clock.WithDeadline(context.Background(), h.clock, h.clock.Boot()+controlTimeout)
 	defer cancel()
-	health, failure := h.ask(ctx, true)
+	health, failure := h.fetchHealth(ctx, true)
 	if failure != nil {
 		return true
 	}
-	known := h.boot.Load()
+	known := h.lastBoot.Load()
 	return known != nil && *known != health.Boot()
 }
--- a/searcher/http_test.go
+++ b/searcher/http_test.go
@@ -34,8 +34,9 @@
 	}
 }
 
-// server is a searcher whose search handler a test replaces.
-type server struct {
+// testSearcher is an HTTP server in place of a searcher. Tests set its search
+// handler.
+type testSearcher struct {
 	*httptest.Server
 	search    http.HandlerFunc
 	boot      atomic.Value
@@ -44,8 +45,8 @@
 	open, max int
 }
 
-func newServer(t *testing.T, search http.HandlerFunc) (*server, *HTTP) {
-	s := &server{search: search, cancelled: make(chan string, 10)}
+func newTestSearcher(t *testing.T, search http.HandlerFunc) (*testSearcher, *HTTP) {
+	s := &testSearcher{search: search, cancelled: make(chan string, 10)}
 	s.boot.Store("b1")
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/search", func(w http.ResponseWriter, r *http.Request) { s.search(w, r) })
@@ -75,12 +76,12 @@
 	return s, h
 }
 
-type outcome struct {
+type callResult struct {
 	reply   Reply
 	failure *Failure
 }
 
-func start(h *HTTP, spec CallSpec) (<-chan outcome, func()) {
+func startCall(h *HTTP, spec CallSpec) (<-chan callResult, func()) {
 	if spec.ID == "" {
 		spec.ID = "q1"
 	}
@@ -88,12 +89,12 @@
 		spec.Deadline = clock.System{}.Boot() + testDeadline
 	}
 	spec.Shard = "s1"
-	out := make(chan outcome, 1)
-	cancel := h.send(NewCall(spec), func(r Reply, f *Failure) { out <- outcome{r, f} })
+	out := make(chan callResult, 1)
+	cancel := h.send(NewCall(spec), func(r Reply, f *Failure) { out <- callResult{r, f} })
 	return out, cancel
 }
 
-func serve(change func(m map[string]any)) http.HandlerFunc {
+func replyWith(change func(m map[string]any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		m := testReply(r.Header.Get("X-Request-Id"))
 		change(m)
@@ -101,16 +102,16 @@
 	}
 }
 
-// Guards against searchers that gather more hits than the caller wants, because
-// the limit of the request does not reach them.
+// Guards against searchers that return more hits than the caller wants because
+// the limit of the request is not sent to them.
 func TestLimitIsSent(t *testing.T) {
 	for limit, want := range map[int]string{0: "", 25: "25"} {
 		got := make(chan string, 1)
-		_, h := newServer(t, func(w http.ResponseWriter, r *http.Request) {
+		_, h := newTestSearcher(t, func(w http.ResponseWriter, r *http.Request) {
 			got <- r.Header.Get("X-Limit")
-			serve(func(map[string]any) {})(w, r)
+			replyWith(func(map[string]any) {})(w, r)
 		})
-		out, _ := start(h, CallSpec{Limit: limit})
+		out, _ := startCall(h, CallSpec{Limit: limit})
 		if o := <-out; o.failure != nil {
 			t.Fatalf("limit %d: %v", limit, o.failure)
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// hijack writes raw bytes and closes the connection.
-func hijack(raw string) http.HandlerFunc {
+// writeRaw returns a handler that writes raw bytes and closes the connection.
+func writeRaw(raw string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		c, _, err := w.(http.Hijacker).Hijack()
 		if err != nil {
@@ -132,11 +133,11 @@
 	}
 }
 
-// Guards against merging a reply that does not belong to the call, and against
-// refusals that claim too much about what ran.
+// Guards against accepting a reply that does not belong to the call, and against
+// failures that state that a request did not run when it may have run.
 func TestRepliesAreChecked(t *testing.T) {
 	other := shard.NewLabel(shard.LabelSpec{Snapshot: 7, Map: "n", Low: 10, High: 20, Documents: 5, Total: 50})
-	set := func(key string, v any) http.HandlerFunc { return serve(func(m map[string]any) { m[key] = v }) }
+	set := func(key string, v any) http.HandlerFunc { return replyWith(func(m map[string]any) { m[key] = v }) }
 	status := func(code int, header ...string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			for i := 0; i < len(header); i += 2 {
@@ -159,13 +160,13 @@
 		{"other snapshot", set("snapshot", 8), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other map", set("map", "x"), &testLabel, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other range", set("high", 21), &testLabel, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"not as announced", serve(func(map[string]any) {}), &other, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"not as announced", replyWith(func(map[string]any) {}), &other, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"empty range", set("low", 20), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"impossible documents", set("documents", 51), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"malformed", hijack("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{{{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"not HTTP", hijack("hello\r\n\r\n"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"truncated", hijack("HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"twice", hijack(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 2)), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"malformed", writeRaw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{{{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"not HTTP", writeRaw("hello\r\n\r\n"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"truncated", writeRaw("HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"twice", writeRaw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 2)), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"too large", set("map", strings.Repeat("x", 1<<17)), nil, FaultReply, refusal.TooLarge, refusal.DidRun},
 		{"snapshot gone", status(409), nil, FaultSnapshot, refusal.SnapshotGone, refusal.NotRun},
 		{"shed", status(503, "X-Ran", "no"), nil, FaultShed, refusal.Overloaded, refusal.NotRun},
@@ -173,11 +174,11 @@
 		{"draining", status(503, "X-Ran", "no", "X-Reason", "draining"), nil, FaultDraining, refusal.NoSearcher, refusal.NotRun},
 		{"unavailable", status(503), nil, FaultStatus, refusal.SearcherFailed, refusal.Unknown},
 		{"error", status(500), nil, FaultStatus, refusal.SearcherFailed, refusal.Unknown},
-		{"broken", hijack(""), nil, FaultBroken, refusal.SearcherFailed, refusal.Unknown},
+		{"broken", writeRaw(""), nil, FaultBroken, refusal.SearcherFailed, refusal.Unknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, h := newServer(t, c.search)
-			out, _ := start(h, CallSpec{Snapshot: 7, Announced: c.announced})
+			_, h := newTestSearcher(t, c.search)
+			out, _ := startCall(h, CallSpec{Snapshot: 7, Announced: c.announced})
 			o := <-out
 			if c.kind == refusal.None {
 				if o.failure != nil || o.reply.Label() != testLabel || o.reply.Version() != "v2" || len(o.reply.Hits()) != 1 {
@@ -192,35 +193,35 @@
 	}
 }
 
-// Guards against a crash that is taken for a broken connection, after which the
-// request would be sent to the next searcher.
-func TestCrashIsToldFromBrokenConnection(t *testing.T) {
-	s, h := newServer(t, nil)
+// Guards against a crash that is classified as a broken connection. The request
+// would then be retried on the next searcher and might crash that one too.
+func TestCrashDistinguishedFromBrokenConnection(t *testing.T) {
+	s, h := newTestSearcher(t, nil)
 	s.search = func(w http.ResponseWriter, r *http.Request) {
 		s.boot.Store("b2")
-		hijack("")(w, r)
+		writeRaw("")(w, r)
 	}
 	health := make(chan *Failure)
 	h.health(func(_ Health, f *Failure) { health <- f })
 	if f := <-health; f != nil {
 		t.Fatal(f)
 	}
-	out, _ := start(h, CallSpec{})
+	out, _ := startCall(h, CallSpec{})
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultCrashed {
 		t.Fatalf("got %+v", o.failure)
 	}
 }
 
-// Guards against searches that go on after the caller has left, and against a
-// cancelled call that is reported as not run.
-func TestCancelInterruptsAndTellsSearcher(t *testing.T) {
-	arrived, leave := make(chan struct{}), make(chan struct{})
-	s, h := newServer(t, func(http.ResponseWriter, *http.Request) {
+// Guards against searches that continue after the caller has cancelled, and
+// against a cancelled call that is reported as not run.
+func TestCancelIsSentToSearcher(t *testing.T) {
+	arrived, release := make(chan struct{}), make(chan struct{})
+	s, h := newTestSearcher(t, func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
-		<-leave
+		<-release
 	})
-	defer close(leave)
-	out, cancel := start(h, CallSpec{})
+	defer close(release)
+	out, cancel := startCall(h, CallSpec{})
 	<-arrived
 	cancel()
 	if o := <-out; o.failure == nil || o.failure.Kind() != refusal.Cancelled || o.failure.Ran() != refusal.Unknown {
@@ -231,32 +232,34 @@
 	}
 }
 
-// Guards against a request that is written after its permission has gone.
-func TestPermitIsAskedBeforeFirstByte(t *testing.T) {
-	_, h := newServer(t, func(http.ResponseWriter, *http.Request) { t.Error("request was written") })
-	out, _ := start(h, CallSpec{Permit: func() *refusal.Error { return refusal.New(refusal.NotHome, "lease") }})
+// Guards against a request that is written although Permit refuses it, such as
+// after the lease has ended.
+func TestPermitCheckedBeforeFirstByte(t *testing.T) {
+	_, h := newTestSearcher(t, func(http.ResponseWriter, *http.Request) { t.Error("request was written") })
+	out, _ := startCall(h, CallSpec{Permit: func() *refusal.Error { return refusal.New(refusal.NotHome, "lease") }})
 	if o := <-out; o.failure == nil || o.failure.Kind() != refusal.NotHome || o.failure.Ran() != refusal.NotRun {
 		t.Fatalf("got %+v", o.failure)
 	}
 }
 
-// Guards against a dead address that leaves it open whether the request ran.
-func TestNoConnectionProvesNotRun(t *testing.T) {
-	s, h := newServer(t, nil)
+// Guards against a failed connect that is reported as a request that may have
+// run.
+func TestConnectFailureIsNotRun(t *testing.T) {
+	s, h := newTestSearcher(t, nil)
 	s.Close()
-	out, _ := start(h, CallSpec{})
+	out, _ := startCall(h, CallSpec{})
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultConnect || o.failure.Ran() != refusal.NotRun {
 		t.Fatalf("got %+v", o.failure)
 	}
 }
 
-// Guards against a silent connection that is not told from a silent searcher.
-func TestSilentConnectionIsTested(t *testing.T) {
-	leave := make(chan struct{})
-	_, h := newServer(t, func(http.ResponseWriter, *http.Request) { <-leave })
-	defer close(leave)
+// Guards against a silent connection that is reported as a silent searcher.
+func TestSilentConnectionDetected(t *testing.T) {
+	release := make(chan struct{})
+	_, h := newTestSearcher(t, func(http.ResponseWriter, *http.Request) { <-release })
+	defer close(release)
 	silent := make(chan struct{})
-	out, cancel := start(h, CallSpec{Patience: time.Millisecond, OnSilent: func() { close(silent) }})
+	out, cancel := startCall(h, CallSpec{Patience: time.Millisecond, OnSilent: func() { close(silent) }})
 	<-silent
 	cancel()
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultConnection {
@@ -264,14 +267,14 @@
 	}
 }
 
-// Guards against more connections than the cap, also while calls are cancelled
-// and the cap changes.
+// Guards against more connections than the limit when calls are cancelled
+// concurrently.
 func TestConnectionCap(t *testing.T) {
-	s, h := newServer(t, serve(func(map[string]any) {}))
+	s, h := newTestSearcher(t, replyWith(func(map[string]any) {}))
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Go(func() {
-			out, cancel := start(h, CallSpec{ID: fmt.Sprint(i)})
+			out, cancel := startCall(h, CallSpec{ID: fmt.Sprint(i)})
 			if i%5 == 0 {
 				cancel()
 			}
@@ -283,22 +286,22 @@
 	wg.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The server may notice the end of a connection after the next began.
+	// The server may see a connection close after the next one has opened.
 	if n := h.pool.size(); n > 4 {
 		t.Errorf("%d connections open, the server saw %d at once", n, s.max)
 	}
 }
 
-// Guards against a decoder that panics or accepts a reply to another call.
+// Guards against a decoder that panics or accepts a reply to a different call.
 func FuzzDecodeReply(f *testing.F) {
-	sound, err := json.Marshal(testReply("q1"))
+	valid, err := json.Marshal(testReply("q1"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(sound)
+	f.Add(valid)
 	f.Add([]byte(`{"id":"q1","shard":"s1"}`))
-	f.Add(append(sound, sound...))
-	f.Add(sound[:len(sound)/2])
+	f.Add(append(valid, valid...))
+	f.Add(valid[:len(valid)/2])
 	c := NewCall(CallSpec{ID: "q1", Shard: "s1", Snapshot: 7, Announced: &testLabel})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, failure := decodeReply(c, body)
@@ -306,20 +309,20 @@
 			t.Errorf("accepted label %+v", r.Label())
 		}
 		if _, failure := decodeHealth(body); failure != nil && failure.Kind() != refusal.BadReply {
-			t.Errorf("health refused as %s", failure.Kind())
+			t.Errorf("decodeHealth failed with kind %s", failure.Kind())
 		}
 	})
 }
 
-// Guards against a second reply that arrives on an idle connection and is taken
-// for the reply to the next call.
-func TestLateSecondReplyIsNotUsed(t *testing.T) {
-	again, wrote := make(chan struct{}), make(chan struct{})
+// Guards against a second reply that arrives on an idle connection and is used
+// as the reply to the next call.
+func TestLateSecondReplyDiscarded(t *testing.T) {
+	writeNext, wrote := make(chan struct{}), make(chan struct{})
 	calls := 0
-	s, h := newServer(t, nil)
+	s, h := newTestSearcher(t, nil)
 	s.search = func(w http.ResponseWriter, r *http.Request) {
 		if calls++; calls > 1 {
-			serve(func(map[string]any) {})(w, r)
+			replyWith(func(map[string]any) {})(w, r)
 			return
 		}
 		body, err := json.Marshal(testReply(r.Header.Get("X-Request-Id")))
@@ -332,19 +335,19 @@
 		}
 		for range 2 {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-			<-again
+			<-writeNext
 		}
 		close(wrote)
 		_ = c.Close()
 	}
-	first, _ := start(h, CallSpec{ID: "q1"})
+	first, _ := startCall(h, CallSpec{ID: "q1"})
 	if o := <-first; o.failure != nil {
 		t.Fatal(o.failure)
 	}
-	again <- struct{}{}
-	close(again)
+	writeNext <- struct{}{}
+	close(writeNext)
 	<-wrote
-	second, _ := start(h, CallSpec{ID: "q2"})
+	second, _ := startCall(h, CallSpec{ID: "q2"})
 	if o := <-second; o.failure != nil {
 		t.Fatal(o.failure)
 	}
--- a/searcher/pool.go
+++ b/searcher/pool.go
@@ -10,20 +10,20 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// connectionCap is the invariant that a pool never holds more connections than
-// its cap allowed when they were made.
+// connectionCap is the invariant that a pool opens no connection beyond its
+// limit at that time.
 const connectionCap invariant.Name = "searcher.connection_cap"
 
-var errPoolClosed = errors.New("connections are closed")
+var errPoolClosed = errors.New("connection pool is closed")
 
-// pool holds the connections to one searcher.
+// pool manages the connections to one searcher.
 type pool struct {
 	dial func(ctx context.Context) (net.Conn, error)
 
 	mu     sync.Mutex
 	limit  int
-	open   int
-	epoch  uint64
+	open   int    // Number of connections open or being opened.
+	epoch  uint64 // Connections from an earlier epoch are not reused.
 	idle   []*conn
 	busy   map[*conn]struct{}
 	freed  chan struct{} // Closed and replaced whenever a connection may be available.
@@ -34,8 +34,8 @@
 	return &pool{dial: dial, limit: limit, busy: make(map[*conn]struct{}), freed: make(chan struct{})}
 }
 
-// get returns an idle connection or makes one, and waits while the cap is
-// reached. With fresh set it makes a new one.
+// get returns an idle connection or opens one. If fresh is set, it always opens
+// one. It waits while the limit is reached.
 func (p *pool) get(ctx context.Context, fresh bool) (*conn, error) {
 	for {
 		c, wait, err := p.reserve(fresh)
@@ -53,8 +53,8 @@
 	}
 }
 
-// reserve returns an idle connection, or a channel to wait on, or neither when
-// it has reserved room for a new connection.
+// reserve returns an idle connection, or a channel to wait on if the limit is
+// reached. It returns neither if it has reserved room for a new connection.
 func (p *pool) reserve(fresh bool) (*conn, <-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	for len(p.idle) > 0 && (!fresh || p.open >= p.limit) {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if !fresh && p.open <= p.limit && c.age == p.epoch && c.clean() {
+		if !fresh && p.open <= p.limit && c.epoch == p.epoch && c.isReusable() {
 			p.busy[c] = struct{}{}
 			return c, nil, nil
 		}
@@ -74,7 +74,7 @@
 		return nil, p.freed, nil
 	}
 	p.open++
-	invariant.Check(connectionCap, p.open <= p.limit, "%d open of %d", p.open, p.limit)
+	invariant.Check(connectionCap, p.open <= p.limit, "%d connections open, limit %d", p.open, p.limit)
 	return nil, nil, nil
 }
 
@@ -97,12 +97,13 @@
 	return c, nil
 }
 
-// put takes a connection back; reuse is false after any doubt about its state.
+// put returns a connection to the pool. The caller passes reuse only if the
+// connection is known to be open and has no reply outstanding.
 func (p *pool) put(c *conn, reuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy, c)
-	if reuse && !p.closed && p.open <= p.limit && c.age == p.epoch && c.r.Buffered() == 0 {
+	if reuse && !p.closed && p.open <= p.limit && c.epoch == p.epoch && c.r.Buffered() == 0 {
 		c.wrote.Store(false)
 		p.idle = append(p.idle, c)
 		p.wakeLocked()
@@ -111,9 +112,9 @@
 	p.dropLocked(c)
 }
 
-// expire makes all present connections unfit for reuse, because one of them
-// turned out to be silent.
-func (p *pool) expire() {
+// invalidate closes the idle connections and prevents reuse of the busy ones.
+// It is called after one connection turned out to be silent.
+func (p *pool) invalidate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.epoch++
--- a/searcher/reply.go
+++ b/searcher/reply.go
@@ -2,34 +2,35 @@
 
 import "medlaryard.example/medlaryard/shard"
 
-// ReplySpec holds the values that NewReply takes.
+// ReplySpec holds the values of a Reply.
 type ReplySpec struct {
-	// Version is the back-end version that answered.
+	// Version is the back-end version that sent the reply.
 	Version string
-	// Label states what the reply covers.
+	// Label describes the snapshot and the range that the reply covers.
 	Label shard.Label
-	// Hits are the results, highest score first.
+	// Hits are the results, ordered by descending score.
 	Hits []shard.Hit
-	// Body is the opaque answer of a non-idempotent request.
+	// Body is the result of a non-idempotent request, which this package does
+	// not interpret.
 	Body []byte
 }
 
-// Reply is a checked answer of a searcher.
+// Reply is the checked reply of a searcher.
 type Reply struct {
 	spec ReplySpec
 }
 
-// NewReply returns the immutable Reply that spec describes.
+// NewReply returns an immutable Reply with the values of spec.
 func NewReply(spec ReplySpec) Reply { return Reply{spec: spec} }
 
-// Version is the back-end version that answered.
+// Version returns the back-end version that sent the reply.
 func (r Reply) Version() string { return r.spec.Version }
 
-// Label states what the reply covers.
+// Label returns the snapshot and the range that the reply covers.
 func (r Reply) Label() shard.Label { return r.spec.Label }
 
-// Hits are the results, highest score first.
+// Hits returns the results, ordered by descending score.
 func (r Reply) Hits() []shard.Hit { return r.spec.Hits }
 
-// Body is the opaque answer of a non-idempotent request.
+// Body returns the result of a non-idempotent request.
 func (r Reply) Body() []byte { return r.spec.Body }
