--- a/move/active_move.go
+++ b/move/active_move.go
@@ -6,15 +6,15 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// activeMove is what a controller knows of one declared move.
+// activeMove is the controller's state of one declared move.
 type activeMove struct {
-	move     *catalogue.Move
-	service  string
-	state    State
-	version  uint64 // Version of the stored object; 0 when absent.
-	loaded   bool   // False until state was read, and after a write with an unknown outcome.
-	window   *window
-	resumed  uint64 // Evidence counted before this controller took over.
-	stopped  string // Fault reported by a home.
-	recorded time.Duration
+	move         *catalogue.Move
+	service      string
+	state        State
+	version      uint64 // Version of the stored object; 0 when absent.
+	loaded       bool   // False until state was read, and after a failed write, which may have taken effect.
+	window       *window
+	resumedCount uint64        // Requests of this step that the stored state counts already.
+	stopReason   string        // Reason reported by a daemon that stopped the version; empty if none.
+	writtenAt    time.Duration // Time of the last read or write of the state.
 }
--- a/move/controller.go
+++ b/move/controller.go
@@ -17,47 +17,49 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// progressInterval is the time between writes that only store the amount of
-// evidence, so that a replaced controller does not start from nothing.
+// progressInterval is the minimum time between writes that only store the number
+// of counted requests, so that the next controller continues from that number.
 const progressInterval = 5 * time.Second
 
-// Controller steps the declared moves. Any number of controllers may run: a
-// step is a conditional update, so at most one of them takes it.
+// Controller advances the declared moves. Several controllers may run at the same
+// time: each step is a conditional update of the store, so at most one of them
+// takes it.
 type Controller struct {
-	clock   clock.Clock
-	store   store.Store
-	token   func() string
-	holds   func() bool
-	onFinal func(State)
+	clock     clock.Clock
+	store     store.Store
+	token     func() string
+	holdsRole func() bool
+	onFinal   func(State)
 
 	mu     sync.Mutex
-	ledger *ledger
+	deltas *deltaTracker
 	active map[string]*activeMove
 }
 
-// ControllerOption changes a Controller under construction.
+// ControllerOption configures a Controller made by NewController.
 type ControllerOption func(*Controller)
 
-// WithHolds sets the check that this daemon still holds the controller role. It
-// is made immediately before each write.
-func WithHolds(holds func() bool) ControllerOption {
-	return func(c *Controller) { c.holds = holds }
+// WithHolds sets the check whether this daemon still holds the controller role.
+// The check runs immediately before each write. By default it always succeeds.
+func WithHolds(holdsRole func() bool) ControllerOption {
+	return func(c *Controller) { c.holdsRole = holdsRole }
 }
 
-// WithOnFinal sets a function that is told of each finished or rolled-back move.
+// WithOnFinal sets a function that is called with the state of each move that
+// this controller finishes or rolls back.
 func WithOnFinal(f func(State)) ControllerOption {
 	return func(c *Controller) { c.onFinal = f }
 }
 
-// NewController returns a Controller. The token function yields a new unique
-// text for each write.
+// NewController returns a Controller that keeps its states in s. The token
+// function returns a new unique text for each write.
 func NewController(c clock.Clock, s store.Store, token func() string, opts ...ControllerOption) *Controller {
 	ctl := &Controller{
 		clock: c, store: s, token: token,
-		holds:   func() bool { return true },
-		onFinal: func(State) {},
-		ledger:  newLedger(),
-		active:  make(map[string]*activeMove),
+		holdsRole: func() bool { return true },
+		onFinal:   func(State) {},
+		deltas:    newDeltaTracker(),
+		active:    make(map[string]*activeMove),
 	}
 	for _, opt := range opts {
 		opt(ctl)
@@ -65,35 +67,35 @@
 	return ctl
 }
 
-// Report takes the cumulative evidence of one source, which names a daemon
-// incarnation.
+// Report adds the cumulative evidence of one source to the running moves. The
+// source identifies a daemon incarnation.
 func (c *Controller) Report(source string, evidence []Evidence) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Boot()
 	for _, e := range evidence {
-		d := c.ledger.difference(source, e, now)
+		delta := c.deltas.delta(source, e, now)
 		for _, a := range c.active {
 			if a.service == e.service && a.loaded && a.state.phase == Running {
-				a.window.add(a.move, e.version, e.route, d, now)
+				a.window.add(a.move, e.version, e.route, delta, now)
 			}
 		}
 	}
-	c.ledger.expire(now)
+	c.deltas.expire(now)
 }
 
-// Stopped takes a home's report that it stopped the new version by its own
-// evidence.
+// Stopped records that a daemon stopped the new version of a move by its own
+// evidence. The next Step rolls the move back.
 func (c *Controller) Stopped(service, move, to, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a, ok := c.active[Key(service, move)]
-	if ok && a.move.To() == to && a.stopped == "" {
-		a.stopped = reason
+	if ok && a.move.To() == to && a.stopReason == "" {
+		a.stopReason = reason
 	}
 }
 
-// States returns the known states, in no particular order.
+// States returns the states that were read from the store, in no particular order.
 func (c *Controller) States() []State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,11 +108,12 @@
 	return states
 }
 
-// Step advances every declared move by at most one step.
+// Step advances every declared move by at most one step. It returns the joined
+// errors of the moves whose state could not be read or written.
 func (c *Controller) Step(ctx context.Context, estate catalogue.Estate) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forgetRemoved(estate)
+	c.removeUndeclared(estate)
 	var errs []error
 	for _, s := range estate.Services() {
 		for _, m := range s.Moves() {
@@ -122,7 +125,7 @@
 	return errors.Join(errs...)
 }
 
-func (c *Controller) forgetRemoved(estate catalogue.Estate) {
+func (c *Controller) removeUndeclared(estate catalogue.Estate) {
 	declared := make(map[string]bool)
 	for _, s := range estate.Services() {
 		for _, m := range s.Moves() {
@@ -149,15 +152,15 @@
 			return err
 		}
 	}
-	next, changed := c.decide(a)
+	next, changed := c.nextState(a)
 	if !changed {
 		return nil
 	}
 	return c.write(ctx, key, a, next)
 }
 
-// load reads the stored state. After a write with an unknown outcome the state
-// that is read tells whether the write took effect.
+// load reads the stored state. After a write with an unknown outcome, the stored
+// state shows whether the write took effect.
 func (c *Controller) load(ctx context.Context, key string, a *activeMove) error {
 	o, err := c.store.Get(ctx, key)
 	switch {
@@ -176,19 +179,19 @@
 		if state.step != a.state.step {
 			a.window = newWindow(c.clock.Boot())
 		}
-		a.state, a.version, a.resumed = state, o.Version(), state.counted
+		a.state, a.version, a.resumedCount = state, o.Version(), state.counted
 	}
 	a.loaded = true
-	a.recorded = c.clock.Boot()
+	a.writtenAt = c.clock.Boot()
 	return nil
 }
 
-// decide returns the state that should follow and whether it differs.
-func (c *Controller) decide(a *activeMove) (State, bool) {
+// nextState returns the state that should follow and whether it must be written.
+func (c *Controller) nextState(a *activeMove) (State, bool) {
 	now := c.clock.Now()
 	s := a.state
 	schedule := NewSchedule(a.move)
-	counted := a.resumed + a.window.whole.fresh()
+	counted := a.resumedCount + a.window.wholeStep.newRequests()
 	switch {
 	case s.phase.Final():
 		return s, false
@@ -197,38 +200,38 @@
 			return s, false
 		}
 		if schedule.Overdue(now) {
-			return c.final(s, RolledBack, 0, "its finish time had passed before it could start"), true
+			return c.finalState(s, RolledBack, 0, "finish time passed before the move started"), true
 		}
-		return c.advance(s, schedule, "started"), true
+		return c.advancedState(s, schedule, "started"), true
 	}
-	fault := a.stopped
+	fault := a.stopReason
 	if fault == "" {
 		fault = a.window.fault(NewGuard(a.move))
 	}
 	if fault != "" {
-		return c.final(s, RolledBack, 0, fault), true
+		return c.finalState(s, RolledBack, 0, fault), true
 	}
 	s.counted = counted
-	proved := counted >= uint64(max(0, a.move.MinEvidence()))
+	enoughEvidence := counted >= uint64(max(0, a.move.MinEvidence()))
 	switch {
-	case schedule.Last(s.step) && !now.Before(schedule.Due(s.step)):
-		return c.final(s, Finished, 1, fmt.Sprintf("no fault in %d requests at full share", counted)), true
-	case !schedule.Last(s.step) && schedule.Overdue(now):
-		return c.final(s, RolledBack, 0, fmt.Sprintf("not proved by its finish time: %d requests seen, %d needed at each share above %.2f", counted, a.move.MinEvidence(), a.move.MaxShare())), true
-	case schedule.Last(s.step) || now.Before(schedule.Due(s.step)):
+	case schedule.IsLast(s.step) && !now.Before(schedule.Due(s.step)):
+		return c.finalState(s, Finished, 1, fmt.Sprintf("no fault in %d requests at full share", counted)), true
+	case !schedule.IsLast(s.step) && schedule.Overdue(now):
+		return c.finalState(s, RolledBack, 0, fmt.Sprintf("finish time passed before full share: %d requests of the new version seen, %d needed for each step above share %.2f", counted, a.move.MinEvidence(), a.move.MaxShare())), true
+	case schedule.IsLast(s.step) || now.Before(schedule.Due(s.step)):
 		return s, c.progressDue(a, counted)
-	case schedule.Share(s.step+1) > a.move.MaxShare() && !proved:
+	case schedule.Share(s.step+1) > a.move.MaxShare() && !enoughEvidence:
 		return s, c.progressDue(a, counted)
 	default:
-		return c.advance(s, schedule, fmt.Sprintf("no fault in %d requests", counted)), true
+		return c.advancedState(s, schedule, fmt.Sprintf("no fault in %d requests", counted)), true
 	}
 }
 
 func (c *Controller) progressDue(a *activeMove, counted uint64) bool {
-	return counted != a.state.counted && c.clock.Boot()-a.recorded >= progressInterval
+	return counted != a.state.counted && c.clock.Boot()-a.writtenAt >= progressInterval
 }
 
-func (c *Controller) advance(s State, schedule Schedule, reason string) State {
+func (c *Controller) advancedState(s State, schedule Schedule, reason string) State {
 	s.phase = Running
 	s.step++
 	s.share = schedule.Share(s.step)
@@ -238,7 +241,7 @@
 	return s
 }
 
-func (c *Controller) final(s State, phase Phase, share float64, reason string) State {
+func (c *Controller) finalState(s State, phase Phase, share float64, reason string) State {
 	s.phase = phase
 	s.step++
 	s.share = share
@@ -253,28 +256,29 @@
 	if err != nil {
 		return err
 	}
-	if !c.holds() {
+	if !c.holdsRole() {
 		return nil
 	}
-	invariant.Check("move.final", !a.state.phase.Final(), "move %s steps from %s to %s", key, a.state.phase, next.phase)
+	invariant.Check("move.final", !a.state.phase.Final(), "move %s: step from final phase %s to %s", key, a.state.phase, next.phase)
 	o, err := c.store.Put(ctx, key, value, a.version)
 	if err != nil {
-		// The write may have taken effect, or another controller wrote first.
+		// The write may have taken effect, or another controller wrote first; the
+		// next step reads the state again.
 		a.loaded = false
 		meter.Count("move.write_failed", 1)
 		return err
 	}
 	stepped := next.step != a.state.step
 	a.state, a.version = next, o.Version()
-	a.recorded = c.clock.Boot()
+	a.writtenAt = c.clock.Boot()
 	if stepped {
-		c.noteStep(a)
+		c.recordStep(a)
 	}
 	return nil
 }
 
-func (c *Controller) noteStep(a *activeMove) {
-	a.window, a.resumed = newWindow(c.clock.Boot()), 0
+func (c *Controller) recordStep(a *activeMove) {
+	a.window, a.resumedCount = newWindow(c.clock.Boot()), 0
 	s := a.state
 	log.Info().Str("service", s.service).Str("move", s.move).Str("phase", string(s.phase)).
 		Uint64("step", s.step).Float64("share", s.share).Str("reason", s.reason).Msg("version move stepped")
--- a/move/controller_test.go
+++ b/move/controller_test.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	tick  = time.Second
-	homes = 3
-	// faultShown is the number of requests in which a fault has shown when
-	// detection is due, and detectionTime the time after which it is late.
-	faultShown    = 20
-	detectionTime = 3 * time.Second
+	tickInterval = time.Second
+	homeCount    = 3
+	// A version must be rolled back within maxDetectionTime after its fault has
+	// occurred in detectionThreshold requests.
+	detectionThreshold = 20
+	maxDetectionTime   = 3 * time.Second
 )
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// seeds returns how many seeds a test runs: MEDLARYARD_SEEDS or the given number.
+// seeds returns the number of seeds of a test: MEDLARYARD_SEEDS if set, else n.
 func seeds(n uint64) uint64 {
 	if more, err := strconv.ParseUint(os.Getenv("MEDLARYARD_SEEDS"), 10, 32); err == nil {
 		return more
@@ -40,31 +40,31 @@
 }
 
 // rollout runs one declared move against simulated homes: followers that send
-// ratePerTick requests each second and report to whichever controller is
-// active. The versions' behaviour is a function of time, share and route.
+// ratePerTick requests each second and report to the active controller. The
+// function respond sets the latency and the result of each request.
 type rollout struct {
-	clock       *clocktest.Manual
-	store       *fakeStore
-	rng         *rand.Rand
-	estate      catalogue.Estate
-	move        *catalogue.Move
-	ctl         *Controller
-	followers   []*Follower
-	share       []float64
-	evidence    []map[[2]string]*Sample
-	tokens      int
-	exposed     int
-	total       int
-	bad         int           // Requests that showed the fault.
-	shownAt     time.Duration // When the fault had shown in faultShown requests.
-	answer      func(r *rollout, version, route string, share float64) (latencyUs int64, failed bool)
-	ratePerTick int
+	clock              *clocktest.Manual
+	store              *fakeStore
+	rng                *rand.Rand
+	estate             catalogue.Estate
+	move               *catalogue.Move
+	ctl                *Controller
+	followers          []*Follower
+	share              []float64
+	evidence           []map[[2]string]*Sample
+	tokens             int
+	newVersionRequests int
+	totalRequests      int
+	faultyRequests     int           // Requests in which the fault occurred.
+	thresholdReachedAt time.Duration // When faultyRequests reached detectionThreshold.
+	respond            func(r *rollout, version, route string, share float64) (latencyUs int64, failed bool)
+	ratePerTick        int
 }
 
-func newRollout(seed uint64, answer func(*rollout, string, string, float64) (int64, bool)) *rollout {
+func newRollout(seed uint64, respond func(*rollout, string, string, float64) (int64, bool)) *rollout {
 	r := &rollout{
 		clock: clocktest.New(), store: newFakeStore(seed), rng: rand.New(rand.NewPCG(seed, 2)),
-		share: make([]float64, homes), answer: answer, ratePerTick: 60,
+		share: make([]float64, homeCount), respond: respond, ratePerTick: 60,
 	}
 	start := r.clock.Now()
 	r.move = catalogue.NewMove(catalogue.MoveSpec{
@@ -75,7 +75,7 @@
 	r.estate = catalogue.NewEstate(catalogue.EstateSpec{Generation: 1, Services: []*catalogue.Service{
 		catalogue.NewService(catalogue.ServiceSpec{EntrySpec: catalogue.EntrySpec{Name: "case-finder"}, Moves: []*catalogue.Move{r.move}}),
 	}})
-	for i := range homes {
+	for i := range homeCount {
 		r.followers = append(r.followers, NewFollower(r.clock, func(_, _ string, share float64) { r.share[i] = share }))
 		r.followers[i].Declare(r.estate)
 		r.evidence = append(r.evidence, make(map[[2]string]*Sample))
@@ -92,7 +92,7 @@
 }
 
 func (r *rollout) tick() {
-	r.clock.Advance(tick)
+	r.clock.Advance(tickInterval)
 	for i, f := range r.followers {
 		r.serve(i)
 		var all []Evidence
@@ -118,11 +118,11 @@
 		version := "v1"
 		if r.rng.Float64() < r.share[home] {
 			version = "v2"
-			r.exposed++
+			r.newVersionRequests++
 		}
-		r.total++
+		r.totalRequests++
 		route := []string{"match", "compare", "export"}[n%3]
-		latency, failed := r.answer(r, version, route, r.share[home])
+		latency, failed := r.respond(r, version, route, r.share[home])
 		key := [2]string{version, route}
 		if r.evidence[home][key] == nil {
 			r.evidence[home][key] = NewSample()
@@ -131,10 +131,10 @@
 	}
 }
 
-func (r *rollout) showFault() {
-	r.bad++
-	if r.bad == faultShown {
-		r.shownAt = r.clock.Boot()
+func (r *rollout) countFault() {
+	r.faultyRequests++
+	if r.faultyRequests == detectionThreshold {
+		r.thresholdReachedAt = r.clock.Boot()
 	}
 }
 
@@ -145,7 +145,7 @@
 	return r.store.history[len(r.store.history)-1].Phase()
 }
 
-// checkHistory fails when a step was lost, repeated or taken after the end.
+// checkHistory fails if a step was skipped, undone or taken after a final phase.
 func (r *rollout) checkHistory(t *testing.T) {
 	t.Helper()
 	for i := 1; i < len(r.store.history); i++ {
@@ -156,20 +156,21 @@
 	}
 }
 
-// noisy is a version that fails now and then and has a long tail, like the old
-// version it is compared with.
-func noisy(r *rollout) (int64, bool) {
+// noisyResponse returns a response with a long latency tail and an error ratio of
+// 0.01, the same for both versions.
+func noisyResponse(r *rollout) (int64, bool) {
 	return int64(10_000 * (0.5 + r.rng.ExpFloat64())), r.rng.Float64() < 0.01
 }
 
 // Guards against false rollbacks, and against moves that miss their finish time
-// because the controller was replaced, the store was down, or replies were lost.
+// because the controller was replaced, the store was unavailable or replies of the
+// store were lost.
 func TestGoodVersionFinishesInTime(t *testing.T) {
 	for seed := range seeds(2) {
-		r := newRollout(seed, func(r *rollout, _, _ string, _ float64) (int64, bool) { return noisy(r) })
-		r.store.lose = 0.2
+		r := newRollout(seed, func(r *rollout, _, _ string, _ float64) (int64, bool) { return noisyResponse(r) })
+		r.store.replyLossProbability = 0.2
 		for second := range 600 {
-			r.store.down = second > 100 && second < 220
+			r.store.unavailable = second > 100 && second < 220
 			if second%90 == 40 {
 				r.replaceController()
 			}
@@ -182,10 +183,10 @@
 	}
 }
 
-// Guards against bad versions that keep traffic: faults that show at once,
-// late, under load only, or on a single route.
+// Guards against bad versions that keep traffic. The fault starts at once or late,
+// or occurs under load only or on a single route.
 func TestBadVersionIsRolledBack(t *testing.T) {
-	late := time.Hour + 200*time.Second
+	faultStart := time.Hour + 200*time.Second
 	for _, tc := range []struct {
 		name string
 		bad  func(r *rollout, route string, share float64) bool
@@ -193,15 +194,15 @@
 	}{
 		{"errors at once", func(*rollout, string, float64) bool { return true }, false},
 		{"slow at once", func(*rollout, string, float64) bool { return true }, true},
-		{"errors late", func(r *rollout, _ string, _ float64) bool { return r.clock.Boot() > late }, false},
-		{"slow late", func(r *rollout, _ string, _ float64) bool { return r.clock.Boot() > late }, true},
+		{"errors late", func(r *rollout, _ string, _ float64) bool { return r.clock.Boot() > faultStart }, false},
+		{"slow late", func(r *rollout, _ string, _ float64) bool { return r.clock.Boot() > faultStart }, true},
 		{"slow under load", func(_ *rollout, _ string, share float64) bool { return share >= 0.25 }, true},
 		{"errors on one route", func(_ *rollout, route string, _ float64) bool { return route == "export" }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range seeds(2) {
 				r := newRollout(seed, func(r *rollout, version, route string, share float64) (int64, bool) {
-					latency, failed := noisy(r)
+					latency, failed := noisyResponse(r)
 					if version != "v2" || !tc.bad(r, route, share) {
 						return latency, failed
 					}
@@ -211,7 +212,7 @@
 						latency *= 4
 					}
 					if tc.slow && latency > 60_000 || !tc.slow && failed {
-						r.showFault()
+						r.countFault()
 					}
 					return latency, failed
 				})
@@ -222,23 +223,24 @@
 					}
 				}
 				r.checkHistory(t)
-				if late := r.clock.Boot() - r.shownAt; r.bad >= faultShown && late > detectionTime {
-					t.Errorf("seed %d: rolled back %v after the fault had shown", seed, late)
+				if delay := r.clock.Boot() - r.thresholdReachedAt; r.faultyRequests >= detectionThreshold && delay > maxDetectionTime {
+					t.Errorf("seed %d: rolled back %v after the fault occurred in the threshold of requests", seed, delay)
 				}
 				for i, share := range r.share {
 					if share != 0 {
 						t.Errorf("seed %d: home %d keeps share %v", seed, i, share)
 					}
 				}
-				t.Logf("seed %d: found after %d bad requests, %.2f%% of requests exposed", seed, r.bad, 100*float64(r.exposed)/float64(r.total))
+				t.Logf("seed %d: found after %d faulty requests, %.2f%% of requests sent to the new version", seed, r.faultyRequests, 100*float64(r.newVersionRequests)/float64(r.totalRequests))
 			}
 		})
 	}
 }
 
-// Guards against two controllers that both believe that they hold the role.
+// Guards against lost or repeated steps when two controllers run at the same time
+// because both believe that they hold the role.
 func TestTwoControllersTakeEachStepOnce(t *testing.T) {
-	r := newRollout(7, func(r *rollout, _, _ string, _ float64) (int64, bool) { return noisy(r) })
+	r := newRollout(7, func(r *rollout, _, _ string, _ float64) (int64, bool) { return noisyResponse(r) })
 	other := r.ctl
 	r.replaceController()
 	for second := range 600 {
--- a/move/evidence.go
+++ b/move/evidence.go
@@ -1,7 +1,7 @@
 package move
 
-// Evidence is what one home observed of one version on one route since it
-// started.
+// Evidence holds the cumulative counts of one version on one route since the
+// reporting daemon started.
 type Evidence struct {
 	service string
 	version string
--- a/move/fake_store_test.go
+++ b/move/fake_store_test.go
@@ -7,15 +7,15 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// fakeStore is an object store whose calls fail, and whose writes lose their
-// replies, with set probabilities.
+// fakeStore is an in-memory object store. All calls fail while unavailable is
+// set. A write takes effect but loses its reply with replyLossProbability.
 type fakeStore struct {
 	store.Store
-	rng     *rand.Rand
-	objects map[string]store.Object
-	down    bool
-	lose    float64
-	history []State
+	rng                  *rand.Rand
+	objects              map[string]store.Object
+	unavailable          bool
+	replyLossProbability float64
+	history              []State
 }
 
 func newFakeStore(seed uint64) *fakeStore {
@@ -23,7 +23,7 @@
 }
 
 func (f *fakeStore) Get(_ context.Context, key string) (store.Object, error) {
-	if f.down {
+	if f.unavailable {
 		return store.Object{}, store.ErrUnavailable
 	}
 	o, ok := f.objects[key]
@@ -34,7 +34,7 @@
 }
 
 func (f *fakeStore) Put(_ context.Context, key string, value []byte, expected uint64) (store.Object, error) {
-	if f.down {
+	if f.unavailable {
 		return store.Object{}, store.ErrUnavailable
 	}
 	if f.objects[key].Version() != expected {
@@ -47,7 +47,7 @@
 		panic(err)
 	}
 	f.history = append(f.history, s)
-	if f.rng.Float64() < f.lose {
+	if f.rng.Float64() < f.replyLossProbability {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return o, nil
--- a/move/follower.go
+++ b/move/follower.go
@@ -14,41 +14,42 @@
 )
 
 // Follower applies the shares of moves to the homes of this daemon. It stops a
-// bad version at once by the daemon's own evidence, without waiting for the
-// controller.
+// bad version as soon as the daemon's own evidence proves the fault, without
+// waiting for the controller.
 type Follower struct {
 	clock    clock.Clock
 	setShare func(service, move string, share float64)
 
 	mu     sync.Mutex
-	ledger *ledger
-	moves  map[string]*followed
+	deltas *deltaTracker
+	moves  map[string]*followedMove
 }
 
-type followed struct {
-	service string
-	move    *catalogue.Move
-	state   State
-	stopped string // Fault for which this daemon stopped the version.
-	window  *window
+type followedMove struct {
+	service    string
+	move       *catalogue.Move
+	state      State
+	stopReason string // Fault for which this daemon stopped the version; empty if none.
+	window     *window
 }
 
-// effective is the share that the homes apply: none after a local stop, until
-// the controller has ended the move.
-func (m *followed) effective() float64 {
-	if m.stopped != "" && !m.state.phase.Final() {
+// effectiveShare returns the share that the homes apply. It is 0 after a local
+// stop until the controller has ended the move.
+func (m *followedMove) effectiveShare() float64 {
+	if m.stopReason != "" && !m.state.phase.Final() {
 		return 0
 	}
 	return m.state.share
 }
 
-// NewFollower returns a Follower. The setShare function is told every change,
-// with 0 for a version that must receive nothing.
+// NewFollower returns a Follower. It calls setShare with the share of each move,
+// between 0 and 1, on every change and every Observe.
 func NewFollower(c clock.Clock, setShare func(service, move string, share float64)) *Follower {
-	return &Follower{clock: c, setShare: setShare, ledger: newLedger(), moves: make(map[string]*followed)}
+	return &Follower{clock: c, setShare: setShare, deltas: newDeltaTracker(), moves: make(map[string]*followedMove)}
 }
 
-// Declare takes the moves of an estate. A new move starts with share 0.
+// Declare replaces the followed moves by those of an estate. A new move starts
+// with share 0.
 func (f *Follower) Declare(estate catalogue.Estate) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,12 +74,13 @@
 		old.move = m
 		return
 	}
-	f.moves[key] = &followed{service: service, move: m, state: NewState(service, m), window: newWindow(f.clock.Boot())}
+	f.moves[key] = &followedMove{service: service, move: m, state: NewState(service, m), window: newWindow(f.clock.Boot())}
 	f.setShare(service, m.Name(), 0)
 }
 
-// Apply takes a state that the controller announced. States older than the
-// known one, which arrive late, change nothing.
+// Apply applies a state that the controller announced. It ignores states of
+// unknown moves, states that are not newer than the applied one, and shares
+// outside 0 to 1.
 func (f *Follower) Apply(s State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,7 +88,7 @@
 	if !ok || !s.Matches(m.move) || s.step <= m.state.step {
 		return
 	}
-	if !invariant.Check("move.final", !m.state.phase.Final(), "move %s of %s goes on after %s", s.move, s.service, m.state.phase) {
+	if !invariant.Check("move.final", !m.state.phase.Final(), "move %s of service %s: step after final phase %s", s.move, s.service, m.state.phase) {
 		return
 	}
 	if s.share < 0 || s.share > 1 {
@@ -94,40 +96,40 @@
 	}
 	m.state = s
 	m.window = newWindow(f.clock.Boot())
-	f.setShare(m.service, s.move, m.effective())
+	f.setShare(m.service, s.move, m.effectiveShare())
 }
 
-// Observe judges the daemon's own cumulative evidence and stops the versions
-// that it proves bad.
+// Observe adds the daemon's own cumulative evidence, stops the versions whose
+// fault it proves, and sets the shares of all moves.
 func (f *Follower) Observe(evidence []Evidence) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Boot()
 	for _, e := range evidence {
-		d := f.ledger.difference("", e, now)
+		delta := f.deltas.delta("", e, now)
 		for _, m := range f.moves {
 			if m.service == e.service && m.state.phase == Running {
-				m.window.add(m.move, e.version, e.route, d, now)
+				m.window.add(m.move, e.version, e.route, delta, now)
 			}
 		}
 	}
-	f.ledger.expire(now)
+	f.deltas.expire(now)
 	for _, m := range f.moves {
-		f.judge(m)
-		// A home that was made since the last call does not know its share yet.
-		f.setShare(m.service, m.move.Name(), m.effective())
+		f.stopIfFaulty(m)
+		// A home that was created since the last call has no share yet.
+		f.setShare(m.service, m.move.Name(), m.effectiveShare())
 	}
 }
 
-func (f *Follower) judge(m *followed) {
-	if m.state.phase != Running || m.stopped != "" {
+func (f *Follower) stopIfFaulty(m *followedMove) {
+	if m.state.phase != Running || m.stopReason != "" {
 		return
 	}
 	fault := m.window.fault(NewGuard(m.move))
 	if fault == "" {
 		return
 	}
-	m.stopped = fault
+	m.stopReason = fault
 	meter.Count("move.stopped_locally", 1)
 	log.Warn().Str("service", m.service).Str("move", m.move.Name()).Str("reason", fault).Msg("version stopped by local evidence")
 }
@@ -138,23 +140,24 @@
 	defer f.mu.Unlock()
 	var stops []Stop
 	for _, m := range f.moves {
-		if m.stopped != "" {
-			stops = append(stops, Stop{service: m.service, move: m.move.Name(), to: m.move.To(), reason: m.stopped})
+		if m.stopReason != "" {
+			stops = append(stops, Stop{service: m.service, move: m.move.Name(), to: m.move.To(), reason: m.stopReason})
 		}
 	}
 	return stops
 }
 
-// States returns the states of the declared moves as this daemon applies them.
+// States returns the states of the declared moves as this daemon applies them,
+// sorted by key.
 func (f *Follower) States() []State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var states []State
 	for _, m := range f.moves {
 		s := m.state
-		s.share = m.effective()
-		if m.stopped != "" && !s.phase.Final() {
-			s.reason = "stopped by this daemon: " + m.stopped
+		s.share = m.effectiveShare()
+		if m.stopReason != "" && !s.phase.Final() {
+			s.reason = "stopped by this daemon: " + m.stopReason
 		}
 		states = append(states, s)
 	}
--- a/move/guard.go
+++ b/move/guard.go
@@ -6,61 +6,62 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// guardedQuantile is the latency quantile that moves are judged by.
+// guardedQuantile is the latency quantile that is compared between versions.
 const guardedQuantile = 0.95
 
-// minOld is the number of old requests without which the old version's latency
-// and error ratio are too uncertain to compare with.
-const minOld = 50
+// minOldRequests is the minimum number of requests of the old version. With fewer
+// its latency and error ratio are too uncertain as a baseline.
+const minOldRequests = 50
 
-// Guard judges a new version against the old one, by the limits of a move.
+// Guard compares a new version with the old one by the limits of a move.
 type Guard struct {
 	maxErrorRatio   float64
 	maxLatencyRatio float64
 }
 
-// NewGuard returns the Guard of a declared move.
+// NewGuard returns a Guard with the limits of a declared move.
 func NewGuard(m *catalogue.Move) Guard {
 	return Guard{maxErrorRatio: m.MaxErrorRatio(), maxLatencyRatio: m.MaxLatencyRatio()}
 }
 
-// Judge returns the fault that the samples prove, or an empty string. Both
-// samples must cover the same time.
-func (g Guard) Judge(route string, old, fresh *Sample) string {
-	if fresh.requests == 0 {
+// Fault describes the fault that the samples of a route prove; it is empty if they
+// prove none. Both samples must cover the same time.
+func (g Guard) Fault(route string, oldSample, newSample *Sample) string {
+	if newSample.requests == 0 {
 		return ""
 	}
-	if fault := g.judgeErrors(route, old, fresh); fault != "" {
+	if fault := g.errorFault(route, oldSample, newSample); fault != "" {
 		return fault
 	}
-	return g.judgeLatency(route, old, fresh)
+	return g.latencyFault(route, oldSample, newSample)
 }
 
-func (g Guard) judgeErrors(route string, old, fresh *Sample) string {
-	base := 0.0
-	if old.requests >= minOld {
-		base = upperRatio(old.requests, old.errors)
+func (g Guard) errorFault(route string, oldSample, newSample *Sample) string {
+	baseline := 0.0
+	if oldSample.requests >= minOldRequests {
+		baseline = ratioUpperBound(oldSample.requests, oldSample.errors)
 	}
-	limit := base + g.maxErrorRatio
-	if !exceeds(fresh.requests, fresh.errors, limit) {
+	limit := baseline + g.maxErrorRatio
+	if !ratioExceeds(newSample.requests, newSample.errors, limit) {
 		return ""
 	}
-	return fmt.Sprintf("route %q: %d errors in %d requests exceed the ratio %.4f", route, fresh.errors, fresh.requests, limit)
+	return fmt.Sprintf("route %q: %d errors in %d requests exceed the error ratio limit %.4f", route, newSample.errors, newSample.requests, limit)
 }
 
-// judgeLatency counts the requests that are slower than the permitted multiple
-// of the old quantile. A version within its limit has at most 1-quantile of
-// them, which turns the comparison of quantiles into one of ratios.
-func (g Guard) judgeLatency(route string, old, fresh *Sample) string {
-	if g.maxLatencyRatio <= 0 || old.requests < minOld {
+// latencyFault counts the requests that are slower than the permitted multiple
+// of the old version's quantile. In a version within its limit, at most the
+// fraction 1-guardedQuantile is that slow, so the comparison of quantiles becomes
+// a comparison of ratios.
+func (g Guard) latencyFault(route string, oldSample, newSample *Sample) string {
+	if g.maxLatencyRatio <= 0 || oldSample.requests < minOldRequests {
 		return ""
 	}
-	limitUs := int64(g.maxLatencyRatio * float64(old.Quantile(guardedQuantile)))
-	succeeded := old.requests - old.errors
-	base := max(1-guardedQuantile, upperRatio(succeeded, old.Slower(limitUs)))
-	n, k := fresh.requests-fresh.errors, fresh.Slower(limitUs)
-	if !exceeds(n, min(n, k), base) {
+	limitUs := int64(g.maxLatencyRatio * float64(oldSample.Quantile(guardedQuantile)))
+	succeeded := oldSample.requests - oldSample.errors
+	baseline := max(1-guardedQuantile, ratioUpperBound(succeeded, oldSample.CountSlower(limitUs)))
+	n, k := newSample.requests-newSample.errors, newSample.CountSlower(limitUs)
+	if !ratioExceeds(n, min(n, k), baseline) {
 		return ""
 	}
-	return fmt.Sprintf("route %q: %d of %d requests took longer than %d µs, %.1f times the old 0.95 quantile", route, k, n, limitUs, g.maxLatencyRatio)
+	return fmt.Sprintf("route %q: %d of %d requests took longer than %d µs, %.1f times the 0.95 quantile of the old version", route, k, n, limitUs, g.maxLatencyRatio)
 }
--- a/move/schedule.go
+++ b/move/schedule.go
@@ -6,25 +6,27 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// shares are the shares of traffic of the steps of a move, smallest first. The
-// steps up to a move's max_share come first and prove the version.
-var shares = []float64{0.01, 0.05, 0.25, 0.5, 1}
+// stepShares are the default shares of traffic of the steps of a move, in
+// ascending order.
+var stepShares = []float64{0.01, 0.05, 0.25, 0.5, 1}
 
-// finishReserve is the part of a move's time that is kept for a replaced
-// controller, a store outage or a slow last step.
+// finishReserve is the fraction of a move's time that is kept as a reserve for a
+// replaced controller, a store outage or a slow last step.
 const finishReserve = 0.3
 
-// Schedule places the steps of a move in time.
+// Schedule holds the shares of the steps of a move and their times.
 type Schedule struct {
 	start    time.Time
 	finishBy time.Time
 	shares   []float64
 }
 
-// NewSchedule returns the Schedule of a declared move.
+// NewSchedule returns the Schedule of a declared move. The move's MaxShare is one
+// of its steps; the steps up to it collect the evidence that the steps above it
+// require.
 func NewSchedule(m *catalogue.Move) Schedule {
 	s := Schedule{start: m.Start(), finishBy: m.FinishBy()}
-	for _, share := range shares {
+	for _, share := range stepShares {
 		if share < m.MaxShare() {
 			s.shares = append(s.shares, share)
 		}
@@ -32,7 +34,7 @@
 	if m.MaxShare() < 1 {
 		s.shares = append(s.shares, m.MaxShare())
 	}
-	for _, share := range shares {
+	for _, share := range stepShares {
 		if share > m.MaxShare() {
 			s.shares = append(s.shares, share)
 		}
@@ -43,7 +45,8 @@
 	return s
 }
 
-// Share returns the share of the step; step 0 is before the start.
+// Share returns the share of the step, between 0 and 1. Step 0 is the time before
+// the start.
 func (s Schedule) Share(step uint64) float64 {
 	if step == 0 {
 		return 0
@@ -51,15 +54,15 @@
 	return s.shares[min(int(step), len(s.shares))-1]
 }
 
-// Last reports whether the step carries all traffic.
-func (s Schedule) Last(step uint64) bool { return int(step) >= len(s.shares) }
+// IsLast reports whether the step is the last one, at full share.
+func (s Schedule) IsLast(step uint64) bool { return int(step) >= len(s.shares) }
 
-// Due returns the time from which the step after the given one may be taken.
-// Steps are spread evenly over the time before the reserve.
+// Due returns the earliest time of the step after the given one. The steps are
+// spread evenly over the time before the reserve.
 func (s Schedule) Due(step uint64) time.Time {
 	usable := time.Duration(float64(s.finishBy.Sub(s.start)) * (1 - finishReserve))
 	return s.start.Add(usable * time.Duration(step) / time.Duration(len(s.shares)+1))
 }
 
-// Overdue reports whether the move can no longer finish in time.
+// Overdue reports whether the finish time of the move has passed.
 func (s Schedule) Overdue(now time.Time) bool { return !now.Before(s.finishBy) }
--- a/move/schedule_test.go
+++ b/move/schedule_test.go
@@ -9,8 +9,8 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// Guards against a schedule that skips the proving steps, never reaches full
-// share, or leaves no reserve before the finish time.
+// Guards against a schedule whose shares or times do not increase, that never
+// reaches full share, or that leaves no reserve before the finish time.
 func TestScheduleReachesFullShareInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(rapid.Int64Range(0, 1e9).Draw(t, "start"), 0)
@@ -24,7 +24,7 @@
 				t.Fatalf("step %d: share %v after %v", step, s.Share(step), s.Share(step-1))
 			}
 		}
-		if s.Share(last) != 1 || !s.Last(last) {
+		if s.Share(last) != 1 || !s.IsLast(last) {
 			t.Fatalf("last step has share %v", s.Share(last))
 		}
 		if left := s.finishBy.Sub(s.Due(last)); left < time.Duration(finishReserve*float64(length))-time.Nanosecond {
--- a/move/sequential.go
+++ b/move/sequential.go
@@ -2,19 +2,23 @@
 
 import "math"
 
-// falseAlarm bounds the probability that a version within its limits is ever
-// judged bad by one test, however often the test is repeated on growing data.
-const falseAlarm = 1e-6
+// falseAlarmProbability is an upper bound on the probability that one test ever
+// rejects a version within its limit, however often the test is repeated on
+// growing data.
+const falseAlarmProbability = 1e-6
 
-// alternatives are the failure ratios that the test is prepared to find, as
-// distances from the limit towards 1.
+// alternatives are the failure ratios of the alternative hypotheses, as fractions
+// of the distance from the limit to 1.
 var alternatives = []float64{0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 0.97}
 
-// exceeds reports whether k failures of n prove a failure ratio above limit.
+// ratioExceeds reports whether k failures in n requests prove a failure ratio above
+// limit.
+//
 // It is a mixture sequential probability ratio test: the average likelihood
-// ratio over the alternatives is a test martingale, so by Ville's inequality it
-// reaches 1/falseAlarm with probability at most falseAlarm at any time.
-func exceeds(n, k uint64, limit float64) bool {
+// ratio over the alternatives is a test martingale, so by Ville's inequality the
+// probability that it ever reaches 1/falseAlarmProbability is at most
+// falseAlarmProbability.
+func ratioExceeds(n, k uint64, limit float64) bool {
 	if k == 0 || limit >= 1 {
 		return false
 	}
@@ -22,19 +26,19 @@
 	var sum float64
 	for _, a := range alternatives {
 		p := limit + a*(1-limit)
-		sum += math.Exp(logRatio(n, k, p, limit))
+		sum += math.Exp(logLikelihoodRatio(n, k, p, limit))
 	}
-	return sum/float64(len(alternatives)) >= 1/falseAlarm
+	return sum/float64(len(alternatives)) >= 1/falseAlarmProbability
 }
 
-func logRatio(n, k uint64, p, limit float64) float64 {
+func logLikelihoodRatio(n, k uint64, p, limit float64) float64 {
 	return float64(k)*math.Log(p/limit) + float64(n-k)*math.Log((1-p)/(1-limit))
 }
 
-// upperRatio is an upper confidence bound (Wilson, 3 standard deviations) on
-// the ratio of k in n, so that few observations of the old version do not make
-// it look faultless.
-func upperRatio(n, k uint64) float64 {
+// ratioUpperBound returns an upper confidence bound on the ratio of k in n: the
+// Wilson score bound at 3 standard deviations. With the plain ratio, a few
+// requests of the old version without a failure would set its ratio to 0.
+func ratioUpperBound(n, k uint64) float64 {
 	if n == 0 {
 		return 1
 	}
--- a/move/sequential_test.go
+++ b/move/sequential_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Guards against false rollbacks: a version that fails exactly at its limit is
-// looked at after every request, so an ordinary significance test would reject it.
-func TestRepeatedLooksRaiseNoFalseAlarm(t *testing.T) {
+// Guards against false rollbacks of a version whose failure ratio equals its limit.
+// The test repeats after every request; an ordinary significance test would reject
+// the version sooner or later.
+func TestSequentialTestFalseAlarms(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for _, limit := range []float64{0.001, 0.02, 0.05, 0.2} {
 		for run := range 300 {
@@ -17,7 +18,7 @@
 				if rng.Float64() < limit {
 					k++
 				}
-				if exceeds(n, k, limit) {
+				if ratioExceeds(n, k, limit) {
 					t.Fatalf("limit %v, run %d: alarm after %d failures of %d", limit, run, k, n)
 				}
 			}
@@ -25,24 +26,24 @@
 	}
 }
 
-// Guards against late detection: the number of requests that a bad version may
-// consume before the test finds it.
-func TestBadVersionIsFoundWithinFewRequests(t *testing.T) {
+// Guards against late detection: a test that needs more than maxRequests requests
+// to reject a version whose failure ratio is above the limit.
+func TestSequentialTestDetection(t *testing.T) {
 	for _, tc := range []struct {
 		limit, ratio float64
-		within       uint64
+		maxRequests  uint64
 	}{
 		{0.02, 1, 8}, {0.02, 0.5, 40}, {0.05, 0.3, 120}, {0.02, 0.1, 600},
 	} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		for range 100 {
 			var n, k uint64
-			for !exceeds(n, k, tc.limit) {
+			for !ratioExceeds(n, k, tc.limit) {
 				n++
 				if rng.Float64() < tc.ratio {
 					k++
 				}
-				if n > tc.within {
+				if n > tc.maxRequests {
 					t.Fatalf("ratio %v over limit %v not found in %d requests", tc.ratio, tc.limit, n)
 				}
 			}
--- a/move/state.go
+++ b/move/state.go
@@ -44,8 +44,8 @@
 	return State{service: service, move: m.Name(), from: m.From(), to: m.To(), phase: Pending}
 }
 
-// FromShare returns the part of a state that homes need, as a controller
-// announced it.
+// FromShare returns the State that a controller announced in a peer message. It
+// lacks the token and the number of counted requests.
 func FromShare(in *peerpb.MoveShare) State {
 	return State{
 		service: in.GetService(), move: in.GetMove(), from: in.GetFrom(), to: in.GetTo(),
@@ -54,7 +54,7 @@
 	}
 }
 
-// ToShare is the inverse of FromShare.
+// ToShare returns the peer message that announces the state to daemons.
 func (s State) ToShare() *peerpb.MoveShare {
 	return &peerpb.MoveShare{
 		Service: s.service, Move: s.move, From: s.from, To: s.to,
@@ -66,7 +66,7 @@
 // Key returns the store key of a move's state.
 func Key(service, move string) string { return "move/" + service + "/" + move }
 
-// DecodeState reads a stored state.
+// DecodeState decodes a stored state.
 func DecodeState(value []byte) (State, error) {
 	var w stateWire
 	if err := json.Unmarshal(value, &w); err != nil {
@@ -78,7 +78,7 @@
 	}, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the state, in JSON.
 func (s State) Encode() ([]byte, error) {
 	b, err := json.Marshal(stateWire{
 		Service: s.service, Move: s.move, From: s.from, To: s.to, Phase: s.phase, Step: s.step,
@@ -105,21 +105,22 @@
 // Step returns the number of steps taken; it never decreases.
 func (s State) Step() uint64 { return s.step }
 
-// Share returns the share of traffic that the new version may receive.
+// Share returns the share of traffic that the new version may receive, between 0
+// and 1.
 func (s State) Share() float64 { return s.share }
 
 // Since returns the time of the last step.
 func (s State) Since() time.Time { return s.since }
 
-// Reason explains the last step, with its evidence.
+// Reason returns the reason for the last step, with its evidence.
 func (s State) Reason() string { return s.reason }
 
-// Counted returns the number of requests of the new version counted since the
-// last step, as of the last write.
+// Counted returns the number of requests of the new version that were counted
+// between the last step and the last write.
 func (s State) Counted() uint64 { return s.counted }
 
-// Matches reports whether the state belongs to the declaration. A move that is
-// declared again under the same name with other versions starts anew.
+// Matches reports whether the state belongs to the declaration m. A move that is
+// declared again under the same name with different versions starts from scratch.
 func (s State) Matches(m *catalogue.Move) bool {
 	return s.move == m.Name() && s.from == m.From() && s.to == m.To()
 }
--- a/move/stop.go
+++ b/move/stop.go
@@ -1,6 +1,7 @@
 package move
 
-// Stop is a version that this daemon stopped by its own evidence.
+// Stop reports that this daemon stopped the new version of a move by its own
+// evidence.
 type Stop struct {
 	service string
 	move    string
@@ -17,5 +18,5 @@
 // To returns the stopped version.
 func (s Stop) To() string { return s.to }
 
-// Reason returns the fault with its evidence.
+// Reason returns the fault for which the version was stopped, with its evidence.
 func (s Stop) Reason() string { return s.reason }
--- a/move/window.go
+++ b/move/window.go
@@ -6,35 +6,35 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// windowLength is the time over which recent evidence is judged apart from the
-// whole step, so that a fault that appears late is not diluted by a long good
-// start.
+// windowLength is the length of an interval of recent evidence. Recent evidence is
+// evaluated apart from the whole step, so that a long period without faults does
+// not dilute a fault that appears late.
 const windowLength = 15 * time.Second
 
-// window judges a move over the whole step and over the recent past. The recent
-// past is the current and the previous interval of windowLength.
+// window collects the evidence of a move over the whole step and over the recent
+// past: the current and the previous interval of windowLength.
 type window struct {
-	whole    *tally
-	current  *tally
-	previous *tally
-	turned   time.Duration
+	wholeStep *routeSamples
+	current   *routeSamples
+	previous  *routeSamples
+	rotatedAt time.Duration
 }
 
 func newWindow(now time.Duration) *window {
-	return &window{whole: newTally(), current: newTally(), previous: newTally(), turned: now}
+	return &window{wholeStep: newRouteSamples(), current: newRouteSamples(), previous: newRouteSamples(), rotatedAt: now}
 }
 
 func (w *window) add(m *catalogue.Move, version, route string, s *Sample, now time.Duration) {
-	if now-w.turned >= windowLength {
-		w.previous, w.current, w.turned = w.current, newTally(), now
+	if now-w.rotatedAt >= windowLength {
+		w.previous, w.current, w.rotatedAt = w.current, newRouteSamples(), now
 	}
-	w.whole.add(m, version, route, s)
+	w.wholeStep.add(m, version, route, s)
 	w.current.add(m, version, route, s)
 	w.previous.add(m, version, route, s)
 }
 
 func (w *window) fault(g Guard) string {
-	if f := w.whole.fault(g); f != "" {
+	if f := w.wholeStep.fault(g); f != "" {
 		return f
 	}
 	return w.previous.fault(g)
