--- a/move/active_move.go
+++ b/move/active_move.go
@@ -16,5 +16,5 @@
 	window       *window
 	resumedCount uint64        // Requests of this step that the stored state counts already.
 	stopReason   string        // Reason reported by a daemon that stopped the version; empty if none.
-	writtenAt    time.Duration // Time of the last read or write of the state.
+	syncedAt     time.Duration // Time of the last read or write of the state.
 }
--- a/move/controller.go
+++ b/move/controller.go
@@ -182,7 +182,7 @@
 		a.state, a.version, a.resumedCount = state, o.Version(), state.counted
 	}
 	a.loaded = true
-	a.writtenAt = c.clock.Boot()
+	a.syncedAt = c.clock.Boot()
 	return nil
 }
 
@@ -228,7 +228,7 @@
 }
 
 func (c *Controller) progressDue(a *activeMove, counted uint64) bool {
-	return counted != a.state.counted && c.clock.Boot()-a.writtenAt >= progressInterval
+	return counted != a.state.counted && c.clock.Boot()-a.syncedAt >= progressInterval
 }
 
 func (c *Controller) advancedState(s State, schedule Schedule, reason string) State {
@@ -270,7 +270,7 @@
 	}
 	stepped := next.step != a.state.step
 	a.state, a.version = next, o.Version()
-	a.writtenAt = c.clock.Boot()
+	a.syncedAt = c.clock.Boot()
 	if stepped {
 		c.recordStep(a)
 	}
--- a/move/doc.go
+++ b/move/doc.go
@@ -7,7 +7,7 @@
 // move is rolled back to share 0.
 //
 // The Controller runs at the leader of a cell and keeps the State of each move as
-// one object in the platform's store. Each daemon has a Follower, which applies the shares and
-// stops a bad version by the daemon's own evidence without waiting for the
-// controller.
+// one object in the platform's store. Each daemon has a Follower, which applies
+// the shares and stops a bad version by the daemon's own evidence without waiting
+// for the controller.
 package move
