--- a/command/addresses.go
+++ b/command/addresses.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// addressesTimeout bounds the wait for one daemon.
+// addressesTimeout bounds the request to one daemon.
 const addressesTimeout = 5 * time.Second
 
 type addressesCommand struct {
@@ -19,7 +19,7 @@
 	Output output   `enum:"text,json" default:"text" help:"Form of the output: text with address, failure domain and incarnation on each line, or json."`
 }
 
-// addressesReply is the address answer.
+// addressesReply is the body of a reply to GET /v1/addresses.
 type addressesReply struct {
 	Addresses []addressReply `json:"addresses"`
 	KeepMS    int64          `json:"keep_ms"`
@@ -32,9 +32,9 @@
 	Domain      string `json:"domain"`
 }
 
-// Run shows the address answer.
+// Run prints the addresses that the daemon tells callers to use.
 func (c *addressesCommand) Run(env *Env) error {
-	answer, body, err := askAddresses(env.ctx, c.Caller)
+	answer, body, err := fetchAddresses(env.ctx, c.Caller)
 	if err != nil {
 		return err
 	}
@@ -48,8 +48,9 @@
 	return nil
 }
 
-// askAddresses returns the answer of the first daemon that gives one, decoded and as received.
-func askAddresses(ctx context.Context, callers []string) (addressesReply, []byte, error) {
+// fetchAddresses asks the daemons in order and returns the first valid reply,
+// decoded and as received. If all fail, it returns their errors joined.
+func fetchAddresses(ctx context.Context, callers []string) (addressesReply, []byte, error) {
 	var failed []error
 	for _, caller := range callers {
 		r, err := client{address: caller, timeout: addressesTimeout}.get(ctx, "/v1/addresses")
@@ -58,7 +59,7 @@
 		}
 		var answer addressesReply
 		if err == nil {
-			err = eris.Wrapf(json.Unmarshal(r.body, &answer), "addresses of the daemon at %s", caller)
+			err = eris.Wrapf(json.Unmarshal(r.body, &answer), "decode addresses from the daemon at %s", caller)
 		}
 		if err == nil {
 			return answer, r.body, nil
--- a/command/apply.go
+++ b/command/apply.go
@@ -13,7 +13,7 @@
 	"medlaryard.example/medlaryard/catalogue/publish"
 )
 
-// applyTimeout bounds a whole apply with its retries.
+// applyTimeout bounds the store calls of one apply, including retries.
 const applyTimeout = 30 * time.Second
 
 type applyCommand struct {
@@ -25,12 +25,13 @@
 	waitFlags `embed:""`
 }
 
-// Help adds to the help text.
+// Help returns the detailed help text of apply.
 func (*applyCommand) Help() string {
 	return "Checks the files, shows the difference to what is in force, and replaces it by a conditional update. A lost reply of the store is resolved by reading back. Applying what is in force changes nothing and succeeds. The design has every daemon use the change within 4 s while the store is reachable; --wait makes sure."
 }
 
-// Run puts the files in force.
+// Run checks the files, prints the difference, and publishes the catalogue if
+// the generation that it is based on is still current.
 func (c *applyCommand) Run(env *Env) error {
 	sources, err := load.Files(c.Files, env.Stdin)
 	if err != nil {
@@ -43,25 +44,25 @@
 	ctx, cancel := context.WithTimeout(env.ctx, applyTimeout)
 	defer cancel()
 	p := publish.New(env.OpenStore(c.Store), publish.WithClock(env.Clock))
-	now, err := p.Current(ctx)
+	current, err := p.Current(ctx)
 	if err != nil {
 		return eris.Wrap(err, "nothing was changed")
 	}
-	based := now.Generation()
+	base := current.Generation()
 	if c.Based != nil {
-		based = *c.Based
+		base = *c.Based
 	}
-	if based == now.Generation() {
-		if err := env.showDifference(now, estate); err != nil {
-			fmt.Fprintf(env.Stderr, "medlaryard: no difference can be shown: %v\n", err)
+	if base == current.Generation() {
+		if err := env.showDifference(current, estate); err != nil {
+			fmt.Fprintf(env.Stderr, "medlaryard: cannot show the difference to the catalogue in force: %v\n", err)
 		}
 	}
-	next, err := p.Apply(ctx, load.Join(sources), c.author(), based)
+	next, err := p.Apply(ctx, load.Join(sources), c.author(), base)
 	if err != nil {
 		return err
 	}
-	if next.Generation() == based {
-		fmt.Fprintf(env.Stdout, "unchanged: generation %d\n", based)
+	if next.Generation() == base {
+		fmt.Fprintf(env.Stdout, "unchanged: generation %d\n", base)
 	} else {
 		fmt.Fprintf(env.Stdout, "applied: generation %d\n", next.Generation())
 	}
--- a/command/check.go
+++ b/command/check.go
@@ -17,12 +17,13 @@
 	Store string   `placeholder:"IP:PORT" env:"MEDLARYARD_STORE" help:"Object store to compare with. Without it the files are only checked."`
 }
 
-// Help adds to the help text.
+// Help returns the detailed help text of check.
 func (*checkCommand) Help() string {
 	return "Faults go to standard error, one to a line: file:line:column: path: what was expected and found. A summary and the difference go to standard output."
 }
 
-// Run checks the files and shows the difference to what is in force.
+// Run checks the files and, if a store is given, prints the difference to the
+// catalogue in force.
 func (c *checkCommand) Run(env *Env) error {
 	sources, err := load.Files(c.Files, env.Stdin)
 	if err != nil {
@@ -36,25 +37,26 @@
 	if c.Store == "" {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(env.ctx, storeTimeout)
+	ctx, cancel := context.WithTimeout(env.ctx, storeReadTimeout)
 	defer cancel()
-	now, err := publish.New(env.OpenStore(c.Store), publish.WithClock(env.Clock)).Current(ctx)
+	current, err := publish.New(env.OpenStore(c.Store), publish.WithClock(env.Clock)).Current(ctx)
 	if err != nil {
-		return eris.Wrap(err, "the files are valid, but what is in force cannot be read")
+		return eris.Wrap(err, "the files are valid, but the catalogue in force cannot be read")
 	}
-	return env.showDifference(now, estate)
+	return env.showDifference(current, estate)
 }
 
-// showDifference prints what would change and since when the present state is in force.
-func (env *Env) showDifference(now publish.Current, estate catalogue.Estate) error {
-	text, err := difference(now, estate)
+// showDifference prints generation, author and time of the catalogue in force,
+// and the changes that estate would make to it.
+func (env *Env) showDifference(current publish.Current, estate catalogue.Estate) error {
+	text, err := difference(current, estate)
 	if err != nil {
-		return eris.Wrapf(err, "generation %d in the store is faulty", now.Generation())
+		return eris.Wrapf(err, "catalogue generation %d in the store is invalid", current.Generation())
 	}
-	if now.Generation() == 0 {
+	if current.Generation() == 0 {
 		fmt.Fprintln(env.Stdout, "in force: nothing")
 	} else {
-		fmt.Fprintf(env.Stdout, "in force: generation %d by %s, applied %s\n", now.Generation(), now.Author(), now.Applied().Format("2006-01-02T15:04:05Z07:00"))
+		fmt.Fprintf(env.Stdout, "in force: generation %d by %s, applied %s\n", current.Generation(), current.Author(), current.Applied().Format("2006-01-02T15:04:05Z07:00"))
 	}
 	fmt.Fprint(env.Stdout, text)
 	return nil
--- a/command/cli.go
+++ b/command/cli.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line.
+// cli declares the subcommands for kong.
 type cli struct {
 	Serve     serveCommand     `cmd:"" help:"Run the daemon until SIGTERM or SIGINT, then shut down gracefully. A second signal exits at once."`
 	Node      nodeCommand      `cmd:"" help:"Run a daemon on the Tamasha Sauti platform until SIGTERM, then shut down gracefully."`
@@ -20,9 +20,11 @@
 	Version   versionCommand   `cmd:"" help:"Show the version of this binary."`
 }
 
-// Main runs the subcommand that args name and returns its exit code.
+// Main runs the subcommand that args select and returns its exit code. args
+// excludes the program name.
 func Main(ctx context.Context, args []string, env *Env) Code {
-	// Kong reports the end after --help through this function, which must not return.
+	// After --help, Kong calls the exit function and expects it not to return.
+	// The exit function therefore panics, and the deferred function recovers the code.
 	type exited int
 	code := OK
 	func() {
@@ -45,7 +47,7 @@
 	parser, err := kong.New(
 		&cli{},
 		kong.Name("medlaryard"),
-		kong.Description("Query tier between callers and sharded search back ends.\n\n"+codes),
+		kong.Description("Query tier between callers and sharded search back ends.\n\n"+exitCodesHelp),
 		kong.Writers(env.Stdout, env.Stderr),
 		kong.Exit(exit),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
@@ -55,18 +57,18 @@
 	}
 	k, err := parser.Parse(args)
 	if err != nil {
-		return env.report(&fault{code: Usage, err: err})
+		return env.report(&exitError{code: Usage, err: err})
 	}
 	return env.report(k.Run(env))
 }
 
-// report prints err and returns its exit code. Faults of input are printed as
-// they are, one to a line, so that editors recognise the positions.
+// report prints err and returns its exit code. Errors in input files are printed
+// without a prefix, one per line, so that editors recognise the positions.
 func (env *Env) report(err error) Code {
-	code := codeOf(err)
+	code := exitCode(err)
 	switch code {
 	case OK:
-	case Faulty:
+	case InvalidInput:
 		fmt.Fprintln(env.Stderr, err)
 	default:
 		fmt.Fprintf(env.Stderr, "medlaryard: %v\n", err)
--- a/command/code.go
+++ b/command/code.go
@@ -7,21 +7,23 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Code is an exit code of the binary.
+// Code is an exit code of the medlaryard binary.
 type Code int
 
 // The exit codes.
 const (
-	// OK means that the command did what it was asked to do.
+	// OK means that the command succeeded.
 	OK Code = 0
-	// Failed means that a store or daemon could not be reached, or any fault without a code of its own.
+	// Failed means that a store or daemon could not be reached, or that an error
+	// without a more specific code occurred.
 	Failed Code = 1
-	// Usage is a faulty command line.
+	// Usage means that the command line is invalid.
 	Usage Code = 2
-	// Faulty is a faulty catalogue or settings file.
-	Faulty Code = 3
-	// Raced means that another operator's change came first and nothing was changed.
-	Raced Code = 4
+	// InvalidInput means that a catalogue or settings file is invalid.
+	InvalidInput Code = 3
+	// Conflict means that another operator changed the catalogue first and that
+	// this command changed nothing.
+	Conflict Code = 4
 	// OutcomeUnknown means that it is not known whether a change or request took effect.
 	OutcomeUnknown Code = 5
 	// Refused means that the daemon refused the request.
@@ -30,24 +32,25 @@
 	Partial Code = 7
 )
 
-// codes is the help text about exit codes.
-const codes = `Exit codes: 0 success; 1 store or daemon not reached, or another failure; 2 faulty command line; 3 faulty catalogue or settings; 4 another operator's change came first, nothing was changed; 5 not known whether the change or request took effect; 6 request refused; 7 partial answer.`
+// exitCodesHelp describes the exit codes in the help text.
+const exitCodesHelp = `Exit codes: 0 success; 1 store or daemon not reached, or another failure; 2 faulty command line; 3 faulty catalogue or settings; 4 another operator's change came first, nothing was changed; 5 not known whether the change or request took effect; 6 request refused; 7 partial answer.`
 
-// fault is an error with its exit code.
-type fault struct {
+// exitError is an error with its exit code.
+type exitError struct {
 	code Code
 	err  error
-	// again means that nothing has run and that the request may be repeated.
-	again bool
+	// retryable means that the request did not run and may be repeated.
+	retryable bool
 }
 
-func (f *fault) Error() string { return f.err.Error() }
-func (f *fault) Unwrap() error { return f.err }
+func (f *exitError) Error() string { return f.err.Error() }
+func (f *exitError) Unwrap() error { return f.err }
 
-// codeOf returns the exit code for err.
-func codeOf(err error) Code {
+// exitCode returns the exit code for err. An error without a code of its own
+// gives Failed.
+func exitCode(err error) Code {
 	var (
-		f       *fault
+		f       *exitError
 		ps      *syntax.Problems
 		race    *publish.Race
 		unknown *publish.Unknown
@@ -58,9 +61,9 @@
 	case errors.As(err, &f):
 		return f.code
 	case errors.As(err, &ps):
-		return Faulty
+		return InvalidInput
 	case errors.As(err, &race):
-		return Raced
+		return Conflict
 	case errors.As(err, &unknown):
 		return OutcomeUnknown
 	default:
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -20,17 +20,18 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-const small = "../examples/small.yaml"
+const smallCatalogue = "../examples/small.yaml"
 
-// oneObject is a store of one object; down makes every call fail.
-type oneObject struct {
+// singleObjectStore is a store that holds one object. While down is set, Get fails
+// with ErrUnavailable.
+type singleObjectStore struct {
 	store.Store
 	version uint64
 	value   []byte
 	down    bool
 }
 
-func (s *oneObject) Get(context.Context, string) (store.Object, error) {
+func (s *singleObjectStore) Get(context.Context, string) (store.Object, error) {
 	switch {
 	case s.down:
 		return store.Object{}, store.ErrUnavailable
@@ -40,7 +41,7 @@
 	return store.NewObject("catalogue/current", s.version, s.value), nil
 }
 
-func (s *oneObject) Put(_ context.Context, key string, value []byte, expected uint64) (store.Object, error) {
+func (s *singleObjectStore) Put(_ context.Context, key string, value []byte, expected uint64) (store.Object, error) {
 	if expected != s.version {
 		return store.Object{}, store.ErrConflict
 	}
@@ -48,16 +49,16 @@
 	return store.NewObject(key, s.version, value), nil
 }
 
-// result is what one run of the binary shows to a shell.
+// result holds the exit code and output of one command run.
 type result struct {
 	code        command.Code
 	out, stderr string
 }
 
-func run(s store.Store, stdin string, args ...string) result {
+func runCommand(s store.Store, stdin string, args ...string) result {
 	var out, stderr bytes.Buffer
 	env := &command.Env{
-		Stdin: strings.NewReader(stdin), Stdout: &out, Stderr: &stderr, Clock: instant{clocktest.New()},
+		Stdin: strings.NewReader(stdin), Stdout: &out, Stderr: &stderr, Clock: advancingClock{clocktest.New()},
 		OpenStore: func(string) store.Store { return s },
 		Serve:     func(context.Context, settings.Settings) error { return nil },
 	}
@@ -72,54 +73,55 @@
 	}
 }
 
-// Guards against exit codes that differ from the help text.
+// Guards against exit codes that differ from those in the help text.
 func TestUsage(t *testing.T) {
-	run(nil, "", "--help").want(t, command.OK, "Exit codes: 0 success", "")
-	run(nil, "", "chek").want(t, command.Usage, "", `did you mean "check"`)
-	run(nil, "", "status", "--operator=127.0.0.1:1", "--interval=1ms").want(t, command.Usage, "", "at least 100ms")
-	run(nil, "", "query", "x", "--caller=127.0.0.1:1", "--service=s", "--owner=o", "--ticket=a/1").want(t, command.Usage, "", "needs --run")
-	run(nil, "", "version").want(t, command.OK, "medlaryard ", "")
-	run(nil, "", "check", "none.yaml").want(t, command.Failed, "", "none.yaml")
-	run(nil, "owner: 5", "check", "-").want(t, command.Faulty, "", "stdin:1:8: owner: expected a name")
+	runCommand(nil, "", "--help").want(t, command.OK, "Exit codes: 0 success", "")
+	runCommand(nil, "", "chek").want(t, command.Usage, "", `did you mean "check"`)
+	runCommand(nil, "", "status", "--operator=127.0.0.1:1", "--interval=1ms").want(t, command.Usage, "", "at least 100ms")
+	runCommand(nil, "", "query", "x", "--caller=127.0.0.1:1", "--service=s", "--owner=o", "--ticket=a/1").want(t, command.Usage, "", "needs --run")
+	runCommand(nil, "", "version").want(t, command.OK, "medlaryard ", "")
+	runCommand(nil, "", "check", "none.yaml").want(t, command.Failed, "", "none.yaml")
+	runCommand(nil, "owner: 5", "check", "-").want(t, command.InvalidInput, "", "stdin:1:8: owner: expected a name")
 }
 
-// Guards against a check that hides what would change, or that reports success
-// when it could not compare.
-func TestCheckShowsDifference(t *testing.T) {
-	s := &oneObject{}
-	run(s, "", "check", small).want(t, command.OK, "valid: 2 failure domains", "")
-	run(s, "", "check", small, "--store=x").want(t, command.OK, "in force: nothing\n+ failure domain domain-a", "")
-	run(s, "", "apply", small, "--store=x", "--author=Achieng").want(t, command.OK, "applied: generation 1\n", "")
-	text, err := os.ReadFile(small)
+// Guards against a check that omits changes, or that reports success although it
+// could not read the catalogue in force.
+func TestCheckDifference(t *testing.T) {
+	s := &singleObjectStore{}
+	runCommand(s, "", "check", smallCatalogue).want(t, command.OK, "valid: 2 failure domains", "")
+	runCommand(s, "", "check", smallCatalogue, "--store=x").want(t, command.OK, "in force: nothing\n+ failure domain domain-a", "")
+	runCommand(s, "", "apply", smallCatalogue, "--store=x", "--author=Achieng").want(t, command.OK, "applied: generation 1\n", "")
+	text, err := os.ReadFile(smallCatalogue)
 	if err != nil {
 		t.Fatal(err)
 	}
 	changed := strings.Replace(string(text), "{name: domain-b, region: local}", "{name: domain-b, region: local, in_service: false}", 1)
-	run(s, changed, "check", "-", "--store=x").want(t, command.OK, "in force: generation 1 by Achieng, applied 2026-01-01T00:00:00Z\n~ failure domain domain-b: in_service true -> false\n", "")
+	runCommand(s, changed, "check", "-", "--store=x").want(t, command.OK, "in force: generation 1 by Achieng, applied 2026-01-01T00:00:00Z\n~ failure domain domain-b: in_service true -> false\n", "")
 	s.down = true
-	run(s, changed, "check", "-", "--store=x").want(t, command.Failed, "valid:", "what is in force cannot be read")
+	runCommand(s, changed, "check", "-", "--store=x").want(t, command.Failed, "valid:", "the catalogue in force cannot be read")
 }
 
-// Guards against an apply that repeats or overwrites a change.
+// Guards against an apply that writes an unchanged catalogue again, that overwrites
+// another operator's change, or that writes while the store cannot be read.
 func TestApply(t *testing.T) {
-	s := &oneObject{}
-	run(s, "", "apply", small, "--store=x", "--based=1").want(t, command.Raced, "", "no catalogue is in force")
-	run(s, "", "apply", small, "--store=x").want(t, command.OK, "applied: generation 1\n", "")
-	run(s, "", "apply", small, "--store=x").want(t, command.OK, "no difference\nunchanged: generation 1\n", "")
-	run(s, "", "apply", "../examples/tamasha.yaml", "--store=x", "--based=0").want(t, command.Raced, "", "nothing was changed")
-	run(s, "", "apply", "../examples/tamasha.yaml", "../examples/haneul.yaml", "--store=x", "--based=1").want(t, command.OK, "applied: generation 2\n", "")
-	run(s, "", "check", "../examples/tamasha.yaml", "../examples/haneul.yaml", "--store=x").want(t, command.OK, "in force: generation 2", "")
-	run(s, "a: [", "apply", "-", "--store=x").want(t, command.Faulty, "", "stdin:")
+	s := &singleObjectStore{}
+	runCommand(s, "", "apply", smallCatalogue, "--store=x", "--based=1").want(t, command.Conflict, "", "no catalogue is in force")
+	runCommand(s, "", "apply", smallCatalogue, "--store=x").want(t, command.OK, "applied: generation 1\n", "")
+	runCommand(s, "", "apply", smallCatalogue, "--store=x").want(t, command.OK, "no difference\nunchanged: generation 1\n", "")
+	runCommand(s, "", "apply", "../examples/tamasha.yaml", "--store=x", "--based=0").want(t, command.Conflict, "", "nothing was changed")
+	runCommand(s, "", "apply", "../examples/tamasha.yaml", "../examples/haneul.yaml", "--store=x", "--based=1").want(t, command.OK, "applied: generation 2\n", "")
+	runCommand(s, "", "check", "../examples/tamasha.yaml", "../examples/haneul.yaml", "--store=x").want(t, command.OK, "in force: generation 2", "")
+	runCommand(s, "a: [", "apply", "-", "--store=x").want(t, command.InvalidInput, "", "stdin:")
 	s.down = true
-	run(s, "", "apply", small, "--store=x").want(t, command.Failed, "", "nothing was changed: read object catalogue/current")
+	runCommand(s, "", "apply", smallCatalogue, "--store=x").want(t, command.Failed, "", "nothing was changed: read object catalogue/current")
 	if s.version != 2 {
-		t.Errorf("the store saw %d writes, want 2", s.version)
+		t.Errorf("the store has version %d, want 2 writes", s.version)
 	}
 }
 
-// Guards against a wait that reports success while a daemon has an older
-// generation, or that goes on after a daemon has refused the change.
-func TestApplyWaits(t *testing.T) {
+// Guards against a wait that reports success while a daemon still has an older
+// generation in force, or that continues after a daemon has refused the change.
+func TestApplyWait(t *testing.T) {
 	tests := []struct {
 		name, status string
 		code         command.Code
@@ -133,23 +135,23 @@
 		t.Run(tt.name, func(t *testing.T) {
 			d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, tt.status) }))
 			defer d.Close()
-			run(&oneObject{}, "", "apply", small, "--store=x", "--wait=5s", "--operator="+strings.TrimPrefix(d.URL, "http://")).want(t, tt.code, tt.out, tt.stderr)
+			runCommand(&singleObjectStore{}, "", "apply", smallCatalogue, "--store=x", "--wait=5s", "--operator="+strings.TrimPrefix(d.URL, "http://")).want(t, tt.code, tt.out, tt.stderr)
 		})
 	}
-	run(&oneObject{}, "", "apply", small, "--store=x", "--wait=1s").want(t, command.Usage, "", "needs --operator")
+	runCommand(&singleObjectStore{}, "", "apply", smallCatalogue, "--store=x", "--wait=1s").want(t, command.Usage, "", "needs --operator")
 }
 
-// Guards against settings that serve accepts although they are faulty.
-func TestServeChecksSettings(t *testing.T) {
+// Guards against a serve that accepts invalid settings.
+func TestServeInvalidSettings(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	if err := os.WriteFile(file, []byte("name: n\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	run(nil, "", "serve", file).want(t, command.Faulty, "", file+":1:1: region: expected a name")
+	runCommand(nil, "", "serve", file).want(t, command.InvalidInput, "", file+":1:1: region: expected a name")
 }
 
-// Guards against a status that loses fields of a newer daemon, that hides
-// daemons behind one that does not answer, or that drops the key.
+// Guards against a status that omits fields of a newer daemon, that stops at the
+// first daemon that does not answer, or that is requested without the key.
 func TestStatus(t *testing.T) {
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != "Bearer 0123456789abcdef" {
@@ -164,12 +166,13 @@
 		t.Fatal(err)
 	}
 	address := strings.TrimPrefix(d.URL, "http://")
-	run(nil, "", "status", "--operator="+address, "--key-file="+key, "--output=json").want(t, command.OK, `{"name":"entry-1","unknown":{"z":1,"a":[2]}}`+"\n", "")
-	run(nil, "", "status", "--operator=127.0.0.1:1,"+address, "--key-file="+key).want(t, command.Failed, "name: entry-1\nunknown:\n  z: 1\n", "daemon at 127.0.0.1:1")
-	run(nil, "", "status", "--operator="+address).want(t, command.Failed, "", "answers 401")
+	runCommand(nil, "", "status", "--operator="+address, "--key-file="+key, "--output=json").want(t, command.OK, `{"name":"entry-1","unknown":{"z":1,"a":[2]}}`+"\n", "")
+	runCommand(nil, "", "status", "--operator=127.0.0.1:1,"+address, "--key-file="+key).want(t, command.Failed, "name: entry-1\nunknown:\n  z: 1\n", "daemon at 127.0.0.1:1")
+	runCommand(nil, "", "status", "--operator="+address).want(t, command.Failed, "", "answers 401")
 }
 
-// Guards against a summary that hides what needs attention.
+// Guards against a summary that omits refused catalogues, shares that differ from
+// the requested ones, searchers that are not warm, or unknown sections.
 func TestStatusSummary(t *testing.T) {
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{
@@ -183,7 +186,7 @@
 	}))
 	defer d.Close()
 	address := strings.TrimPrefix(d.URL, "http://")
-	run(nil, "", "status", "--operator="+address).want(t, command.OK, `daemon n: serving since 2026-01-01T00:00:00Z, failure domain d, region r, 2 requests in flight
+	runCommand(nil, "", "status", "--operator="+address).want(t, command.OK, `daemon n: serving since 2026-01-01T00:00:00Z, failure domain d, region r, 2 requests in flight
 cell main: epoch 3, 7 members, keeper k, store not reachable
 catalogue: generation 4 in force since 2026-01-01T00:00:00Z by a; generation 5 is refused: faulty
 service s: generation 4, policy current, 3 groups (1 full, 1 none, 1 reserved), 3 queued, 0 in flight, searchers: 1 cold, 1 warm
@@ -194,25 +197,26 @@
 - name: m
   kind: new
 `, "")
-	run(nil, "", "status", "--all", "--operator="+address).want(t, command.OK, "name: z\n", "")
+	runCommand(nil, "", "status", "--all", "--operator="+address).want(t, command.OK, "name: z\n", "")
 }
 
-// instant is a clock that goes forward by each wait instead of waiting.
-type instant struct{ *clocktest.Manual }
+// advancingClock is a manual clock on which a timer advances the time by its
+// duration and fires at once.
+type advancingClock struct{ *clocktest.Manual }
 
-func (c instant) NewTimer(d time.Duration) clock.Timer {
+func (c advancingClock) NewTimer(d time.Duration) clock.Timer {
 	c.Advance(d)
 	return c.Manual.NewTimer(0)
 }
 
-// Guards against a watch that ends when a daemon is restarted, or that goes on
-// after an interrupt.
+// Guards against a watch that ends when a daemon fails to answer once, for example
+// during a restart, or that continues after an interrupt.
 func TestStatusWatch(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var readings atomic.Int32
+	var requests atomic.Int32
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		switch readings.Add(1) {
+		switch requests.Add(1) {
 		case 2:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case 3:
@@ -222,7 +226,7 @@
 	}))
 	defer d.Close()
 	var out, stderr bytes.Buffer
-	env := &command.Env{Stdout: &out, Stderr: &stderr, Clock: instant{clocktest.New()}}
+	env := &command.Env{Stdout: &out, Stderr: &stderr, Clock: advancingClock{clocktest.New()}}
 	code := command.Main(ctx, []string{"status", "--watch", "--output=json", "--operator=" + strings.TrimPrefix(d.URL, "http://")}, env)
 	if code != command.OK || !strings.HasPrefix(out.String(), `{"reading":"x"}`) || !strings.Contains(stderr.String(), "answers 503") {
 		t.Errorf("code %d, output %q, standard error %q", code, out.String(), stderr.String())
--- a/command/env.go
+++ b/command/env.go
@@ -9,17 +9,17 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// Env is what the subcommands use of the world outside.
+// Env holds the external dependencies of the subcommands, which tests replace.
 type Env struct {
 	// Stdin, Stdout and Stderr are the standard streams.
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Clock paces retries and --watch.
+	// Clock provides the time and the waits between retries and readings.
 	Clock clock.Clock
-	// OpenStore returns the store at an address.
+	// OpenStore returns a client of the object store at address, which is IP:PORT.
 	OpenStore func(address string) store.Store
-	// Serve runs the daemon until ctx ends and its graceful shutdown is done.
+	// Serve runs the daemon. After ctx ends it shuts down gracefully and returns.
 	Serve func(ctx context.Context, cfg settings.Settings) error
 
 	ctx context.Context
--- a/command/explain.go
+++ b/command/explain.go
@@ -18,13 +18,13 @@
 	Output  string   `enum:"text,json" default:"text" help:"Form of the output: text or json."`
 }
 
-// logLine is one line of a daemon's log, as far as it concerns a request.
+// logLine holds the fields of a daemon's log line that describe a request.
 type logLine struct {
 	Daemon        string   `json:"daemon"`
 	Time          string   `json:"time"`
 	Request       string   `json:"request"`
 	Message       string   `json:"message"`
-	At            float64  `json:"at,omitempty"` // Milliseconds since the request arrived.
+	At            float64  `json:"at,omitempty"` // Milliseconds since the daemon received the request.
 	Decision      string   `json:"decision,omitempty"`
 	Shard         string   `json:"shard,omitempty"`
 	Target        string   `json:"target,omitempty"`
@@ -41,39 +41,41 @@
 	RetryAfter    float64  `json:"retry_after,omitempty"`
 }
 
-// maxLogLine is above the length of any line that a daemon writes.
-const maxLogLine = 1 << 20
+// maxLogLineBytes is the buffer limit for one line. It is above the length of any
+// line that a daemon writes.
+const maxLogLineBytes = 1 << 20
 
-// errNoLines is the error for a request that no log mentions.
-var errNoLines = eris.New("no line mentions the request; it was answered in full and in time, or its lines were left out")
+// errNoLines is returned if no log line has the request's identifier. Daemons
+// log no line for a request that they answer in full and in time.
+var errNoLines = eris.New("no log line mentions the request: it was answered in full and in time, or the daemon omitted its lines")
 
-// Run prints what the logs say of a request.
+// Run prints the decisions and the outcome that the logs contain for a request.
 func (c *explainCommand) Run(env *Env) error {
 	var lines []logLine
-	unread := 0
-	read := func(name string, r io.Reader) error {
-		found, bad, err := readLog(r, c.Request)
-		lines, unread = append(lines, found...), unread+bad
-		return eris.Wrapf(err, "read %s", name)
+	skipped := 0
+	collect := func(name string, r io.Reader) error {
+		found, unparsed, err := readLog(r, c.Request)
+		lines, skipped = append(lines, found...), skipped+unparsed
+		return eris.Wrapf(err, "read log lines from %s", name)
 	}
 	if len(c.Logs) == 0 {
-		if err := read("standard input", env.Stdin); err != nil {
+		if err := collect("standard input", env.Stdin); err != nil {
 			return err
 		}
 	}
 	for _, name := range c.Logs {
 		f, err := os.Open(name)
 		if err != nil {
-			return eris.Wrap(err, "open log")
+			return eris.Wrap(err, "open log file")
 		}
-		err = read(name, f)
-		_ = f.Close() // It was only read.
+		err = collect(name, f)
+		_ = f.Close() // The file was only read, so a close error loses no data.
 		if err != nil {
 			return err
 		}
 	}
-	if unread > 0 {
-		fmt.Fprintf(env.Stderr, "medlaryard: %d lines are not log lines and were skipped\n", unread)
+	if skipped > 0 {
+		fmt.Fprintf(env.Stderr, "medlaryard: %d lines are not log lines and were skipped\n", skipped)
 	}
 	if len(lines) == 0 {
 		return errNoLines
@@ -81,15 +83,15 @@
 	if c.Output == "json" {
 		return json.NewEncoder(env.Stdout).Encode(lines)
 	}
-	return printStory(env.Stdout, lines)
+	return printTimeline(env.Stdout, lines)
 }
 
-// readLog returns the lines about a request and how many lines cannot be read.
-// Text before the first brace, such as the time and name that a collector adds,
-// is skipped.
-func readLog(r io.Reader, request string) (lines []logLine, unread int, err error) {
+// readLog returns the log lines about a request and the number of lines that are
+// not valid JSON. It skips text before the first brace, such as the time and name
+// that a log collector adds.
+func readLog(r io.Reader, request string) (lines []logLine, unparsed int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, maxLogLine/16), maxLogLine)
+	s.Buffer(make([]byte, 0, maxLogLineBytes/16), maxLogLineBytes)
 	for s.Scan() {
 		text := s.Text()
 		if strings.TrimSpace(text) == "" {
@@ -98,18 +100,19 @@
 		var l logLine
 		start := strings.IndexByte(text, '{')
 		if start < 0 || json.Unmarshal([]byte(text[start:]), &l) != nil {
-			unread++
+			unparsed++
 			continue
 		}
 		if l.Request == request {
 			lines = append(lines, l)
 		}
 	}
-	return lines, unread, s.Err()
+	return lines, unparsed, s.Err()
 }
 
-// printStory prints decisions in their order and then the outcome.
-func printStory(out io.Writer, lines []logLine) error {
+// printTimeline prints one table row for each decision, in the order of lines, and
+// two rows for each outcome: the outcome itself and its context.
+func printTimeline(out io.Writer, lines []logLine) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tDECISION\tSHARD\tTARGET\tCAUSE\tDAEMON")
 	for _, l := range lines {
--- a/command/node.go
+++ b/command/node.go
@@ -14,9 +14,9 @@
 	"medlaryard.example/medlaryard/platform"
 )
 
-// logLines is how many log lines are kept for a slow reader; a line takes about
-// 250 bytes.
-const logLines = 4096
+// logBufferLines is the number of log lines that are buffered for a slow reader.
+// A line takes about 250 bytes, so a full buffer holds about 1 MB.
+const logBufferLines = 4096
 
 type nodeCommand struct {
 	Settings string `arg:"" optional:"" help:"Settings file of this daemon, see docs/platform.md. Default: the file that $MEDLARYARD_BOOT names."`
@@ -31,7 +31,7 @@
 	}
 	s, err := node.LoadSettings(path)
 	if err != nil {
-		return &fault{code: Faulty, err: err}
+		return &exitError{code: InvalidInput, err: err}
 	}
 	if c.Check {
 		return nil
@@ -39,13 +39,13 @@
 	level := zerolog.InfoLevel
 	if name := s.LogLevel(); name != "" {
 		if level, err = zerolog.ParseLevel(name); err != nil {
-			return &fault{code: Faulty, err: err}
+			return &exitError{code: InvalidInput, err: err}
 		}
 	}
-	// A reader of the log that stops reading must not hold up a request, so lines
-	// beyond the buffer are dropped and counted.
-	out := diode.NewWriter(env.Stdout, logLines, 0, func(missed int) {
-		meter.Count("log.dropped", int64(missed))
+	// A log reader that stops reading must not block a request. When the buffer is
+	// full, lines are dropped and counted.
+	out := diode.NewWriter(env.Stdout, logBufferLines, 0, func(dropped int) {
+		meter.Count("log.dropped", int64(dropped))
 	})
 	defer out.Close()
 	log := zerolog.New(out).Level(level).With().Timestamp().Str("daemon", s.Name()).Logger()
@@ -56,9 +56,9 @@
 	return node.Run(ctx, s, env.Clock, log)
 }
 
-// watchSettings checks the settings file on SIGHUP and logs the result. New
-// settings take effect at the next start, because listeners and the store's
-// address do not change while a daemon runs.
+// watchSettings validates the settings file on each SIGHUP and logs the result
+// until stop is called. New settings take effect only at the next start, because
+// a running daemon cannot change its listeners or the address of its store.
 func watchSettings(path string, log zerolog.Logger) (stop func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -67,10 +67,10 @@
 		defer close(done)
 		for range hangups {
 			if _, err := node.LoadSettings(path); err != nil {
-				log.Warn().Err(err).Msg("settings file is faulty; the settings in force stay")
+				log.Warn().Err(err).Msg("settings file is invalid; the daemon keeps its current settings")
 				continue
 			}
-			log.Info().Str("file", path).Msg("settings file is sound; it takes effect at the next start")
+			log.Info().Str("file", path).Msg("settings file is valid; it takes effect at the next start")
 		}
 	}()
 	return func() {
--- a/command/output.go
+++ b/command/output.go
@@ -10,33 +10,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// output is the form of a result.
+// output selects the format of a result.
 type output string
 
-// The forms. JSON keeps fields that this binary does not know.
+// The output formats. JSON includes the fields that this binary does not know.
 const (
 	outputText output = "text"
 	outputJSON output = "json"
 )
 
-// printJSON prints one reply on one line.
+// printJSON prints the JSON body of a reply on one line.
 func printJSON(w io.Writer, body []byte) error {
 	var line bytes.Buffer
 	if err := json.Compact(&line, body); err != nil {
-		return eris.Wrap(err, "the reply is not JSON")
+		return eris.Wrap(err, "the daemon's reply is not valid JSON")
 	}
 	_, err := fmt.Fprintln(w, line.String())
 	return err
 }
 
-// printTree prints a reply of any form as indented lines, keys in the order of the reply.
+// printTree prints any JSON reply as YAML. The keys keep the order of the reply.
 func printTree(w io.Writer, body []byte) error {
 	if !json.Valid(body) {
-		return eris.New("the reply is not JSON")
+		return eris.New("the daemon's reply is not valid JSON")
 	}
 	text, err := yaml.JSONToYAML(body)
 	if err != nil {
-		return eris.Wrap(err, "show the reply")
+		return eris.Wrap(err, "convert the daemon's reply to YAML")
 	}
 	_, err = w.Write(text)
 	return err
--- a/command/query.go
+++ b/command/query.go
@@ -16,14 +16,15 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// answerMargin is added to the deadline for the answer's way back.
-const answerMargin = 2 * time.Second
+// replyMargin is added to the request's deadline to give the client timeout. It
+// allows for the transfer of the reply.
+const replyMargin = 2 * time.Second
 
-// retryPause is the time between two attempts.
-const retryPause = 200 * time.Millisecond
+// retryInterval is the pause between two attempts.
+const retryInterval = 200 * time.Millisecond
 
-// maxBody is the longest body that the command reads, in bytes.
-const maxBody = 1 << 20
+// maxBodyBytes is the maximum length of a request body.
+const maxBodyBytes = 1 << 20
 
 type queryCommand struct {
 	Body     string        `arg:"" help:"Body of the request: JSON, or text that is sent as a JSON string; - reads standard input."`
@@ -42,12 +43,12 @@
 	Output   output        `enum:"text,json" default:"text" help:"Form of the output: text with score, shard, identifier and data of a hit on each line, or json."`
 }
 
-// Help adds to the help text.
+// Help returns the detailed help text of query.
 func (*queryCommand) Help() string {
 	return "Hits or the outcome go to standard output; snapshot, coverage and what is missing go to standard error. A request whose outcome is not known is reported with the flags that ask again."
 }
 
-// Validate checks the bounds of the flags.
+// Validate checks the values and combinations of the flags.
 func (c *queryCommand) Validate() error {
 	if c.Deadline < time.Millisecond {
 		return errors.New("--deadline: at least 1ms")
@@ -61,23 +62,24 @@
 	return nil
 }
 
-// Run sends the request.
+// Run sends the request and repeats it for up to --retry-for while it has not run
+// and may be repeated.
 func (c *queryCommand) Run(env *Env) error {
-	body, err := c.body(env)
+	body, err := c.encodeBody(env)
 	if err != nil {
 		return err
 	}
 	if c.ID == "" {
 		c.ID = rand.Text()
 	}
-	end := env.Clock.Boot() + c.RetryFor
+	retryUntil := env.Clock.Boot() + c.RetryFor
 	for id, n := c.ID, 2; ; n++ {
 		err := c.attempt(env, id, body)
-		var f *fault
-		if !errors.As(err, &f) || !f.again || env.Clock.Boot() >= end {
+		var f *exitError
+		if !errors.As(err, &f) || !f.retryable || env.Clock.Boot() >= retryUntil {
 			return err
 		}
-		if clock.Sleep(env.ctx, env.Clock, retryPause) != nil {
+		if clock.Sleep(env.ctx, env.Clock, retryInterval) != nil {
 			return err
 		}
 		if c.Once {
@@ -86,53 +88,57 @@
 	}
 }
 
-// attempt sends the request once.
+// attempt fetches the daemons' addresses and sends the request to one of them,
+// chosen at random.
 func (c *queryCommand) attempt(env *Env, id string, body json.RawMessage) error {
-	answer, _, err := askAddresses(env.ctx, c.Caller)
+	answer, _, err := fetchAddresses(env.ctx, c.Caller)
 	if err == nil && len(answer.Addresses) == 0 {
-		err = eris.New("the daemon names no addresses")
+		err = eris.New("the daemon's address list is empty")
 	}
 	if err != nil {
-		return &fault{code: Failed, again: true, err: err}
+		return &exitError{code: Failed, retryable: true, err: err}
 	}
 	req := queryRequest{
 		ID: id, Owner: c.Owner, Class: c.Class, Service: c.Service, Route: c.Route,
 		DeadlineMS: c.Deadline.Milliseconds(), Body: body,
 	}
-	to := answer.Addresses[mathrand.IntN(len(answer.Addresses))]
+	daemon := answer.Addresses[mathrand.IntN(len(answer.Addresses))]
 	if c.Once {
-		return c.runOnce(env, req, to, answer)
+		return c.sendNonIdempotent(env, req, daemon, answer)
 	}
 	req.Limit = c.Limit
-	r, err := client{address: to.Address, timeout: c.Deadline + answerMargin}.post(env.ctx, "/v1/query", req)
+	r, err := client{address: daemon.Address, timeout: c.Deadline + replyMargin}.post(env.ctx, "/v1/query", req)
 	if err != nil {
 		return err
 	}
 	if r.status != http.StatusOK {
-		return refused(r)
+		return refusalError(r)
 	}
 	return c.printAnswer(env, r.body)
 }
 
-// body returns the body as JSON.
-func (c *queryCommand) body(env *Env) (json.RawMessage, error) {
+// encodeBody returns the request body as JSON. A body that is not valid JSON is
+// encoded as a JSON string.
+func (c *queryCommand) encodeBody(env *Env) (json.RawMessage, error) {
 	body := []byte(c.Body)
 	if c.Body == load.Stdin {
 		var err error
-		if body, err = io.ReadAll(io.LimitReader(env.Stdin, maxBody+1)); err != nil {
-			return nil, eris.Wrap(err, "read body")
+		if body, err = io.ReadAll(io.LimitReader(env.Stdin, maxBodyBytes+1)); err != nil {
+			return nil, eris.Wrap(err, "read request body from standard input")
 		}
 	}
-	if len(body) > maxBody {
-		return nil, eris.Errorf("the body is longer than %d bytes", maxBody)
+	if len(body) > maxBodyBytes {
+		return nil, eris.Errorf("the request body is longer than %d bytes", maxBodyBytes)
 	}
 	if json.Valid(body) {
 		return body, nil
 	}
 	text, err := json.Marshal(string(body))
-	return text, eris.Wrap(err, "encode body")
+	return text, eris.Wrap(err, "encode request body as a JSON string")
 }
 
+// printAnswer prints the answer. An answer that does not cover all documents gives
+// an error with the code Partial unless --allow-partial is set.
 func (c *queryCommand) printAnswer(env *Env, body []byte) error {
 	var answer queryReply
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -156,5 +162,5 @@
 	if complete || c.Partial {
 		return nil
 	}
-	return &fault{code: Partial, err: eris.Errorf("partial answer: %d of %d documents", answer.Coverage.Documents, answer.Coverage.Total)}
+	return &exitError{code: Partial, err: eris.Errorf("partial answer: %d of %d documents", answer.Coverage.Documents, answer.Coverage.Total)}
 }
--- a/command/queryreply.go
+++ b/command/queryreply.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// queryReply is the part of an answer that text output shows.
+// queryReply holds the fields of an answer that text output shows.
 type queryReply struct {
 	ID       string `json:"id"`
 	Snapshot uint64 `json:"snapshot"`
--- a/command/queryrequest.go
+++ b/command/queryrequest.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// queryRequest is the body of a query, and with a ticket that of a run.
+// queryRequest is the body of POST /v1/query and, with a ticket, of POST /v1/run.
 type queryRequest struct {
 	ID         string          `json:"id"`
 	Owner      string          `json:"owner"`
--- a/command/serve.go
+++ b/command/serve.go
@@ -17,7 +17,7 @@
 	Check    bool   `help:"Only check the settings."`
 }
 
-// Run runs the daemon.
+// Run runs the daemon until SIGTERM or an interrupt. A second signal exits at once.
 func (c *serveCommand) Run(env *Env) error {
 	cfg, err := settings.Load(c.Settings)
 	if err != nil || c.Check {
@@ -38,7 +38,7 @@
 		log.Info().Stringer("signal", s).Msg("graceful shutdown begins")
 		cancel()
 		s = <-signals
-		log.Warn().Stringer("signal", s).Msg("second signal, exiting at once")
+		log.Warn().Stringer("signal", s).Msg("second signal received; exiting without completing the graceful shutdown")
 		os.Exit(int(Failed))
 	}()
 	return env.Serve(ctx, cfg)
--- a/command/status.go
+++ b/command/status.go
@@ -21,7 +21,7 @@
 	Output   output        `enum:"text,json" default:"text" help:"Form of the output: text, or json with one line for each reading of a daemon."`
 }
 
-// Help adds to the help text.
+// Help returns the detailed help text of status.
 func (*statusCommand) Help() string {
 	return "The status is shown for each daemon in turn. The exit code is 1 if any daemon did not answer; with --watch such readings are reported on standard error and the next ones follow."
 }
@@ -34,14 +34,14 @@
 	return nil
 }
 
-// Run shows the status of each daemon.
+// Run prints the status of each daemon, once or repeatedly with --watch.
 func (c *statusCommand) Run(env *Env) error {
 	key, err := readKey(c.KeyFile)
 	if err != nil {
 		return err
 	}
 	for {
-		err := c.round(env, key)
+		err := c.readAll(env, key)
 		if !c.Watch {
 			return err
 		}
@@ -54,8 +54,9 @@
 	}
 }
 
-// round reads each daemon once; one that does not answer does not hide the others.
-func (c *statusCommand) round(env *Env, key string) error {
+// readAll fetches and prints the status of each daemon once. It continues after a
+// failure and returns all errors joined.
+func (c *statusCommand) readAll(env *Env, key string) error {
 	var failed []error
 	for _, address := range c.Operator {
 		r, err := client{address: address, key: key, timeout: c.Timeout}.get(env.ctx, "/v1/status")
@@ -63,7 +64,7 @@
 			err = eris.Errorf("daemon at %s answers %d: %.200s", address, r.status, r.body)
 		}
 		if err == nil {
-			err = c.print(env, address, r.body)
+			err = c.printReading(env, address, r.body)
 		}
 		if err != nil {
 			failed = append(failed, err)
@@ -72,7 +73,7 @@
 	return errors.Join(failed...)
 }
 
-func (c *statusCommand) print(env *Env, address string, body []byte) error {
+func (c *statusCommand) printReading(env *Env, address string, body []byte) error {
 	if c.Output == outputJSON {
 		return printJSON(env.Stdout, body)
 	}
--- a/command/statusreply.go
+++ b/command/statusreply.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// statusReply is the part of a status that the concise text shows. Fields that
-// are absent stay zero, and sections that are not named here are shown as they are.
+// statusReply holds the fields of a status that the summary shows. Fields that are
+// absent from the reply stay zero. Other sections are printed in full.
 type statusReply struct {
 	Daemon   *daemonReply   `json:"daemon"`
 	Cell     cellReply      `json:"cell"`
@@ -23,17 +23,17 @@
 }
 
 type cellReply struct {
-	Cell           string    `json:"cell"`
-	Keeper         string    `json:"keeper"`
-	Epoch          uint64    `json:"epoch"`
-	Members        int       `json:"members"`
-	Asked          uint64    `json:"asked_generation"`
-	InForce        uint64    `json:"in_force_generation"`
-	InForceSince   time.Time `json:"in_force_since"`
-	Author         string    `json:"author"`
-	Refused        string    `json:"refused"`
-	Standstill     bool      `json:"standstill"`
-	StoreReachable bool      `json:"store_reachable"`
+	Cell              string    `json:"cell"`
+	Keeper            string    `json:"keeper"`
+	Epoch             uint64    `json:"epoch"`
+	Members           int       `json:"members"`
+	AskedGeneration   uint64    `json:"asked_generation"`
+	InForceGeneration uint64    `json:"in_force_generation"`
+	InForceSince      time.Time `json:"in_force_since"`
+	Author            string    `json:"author"`
+	Refused           string    `json:"refused"`
+	Standstill        bool      `json:"standstill"`
+	StoreReachable    bool      `json:"store_reachable"`
 }
 
 type serviceReply struct {
@@ -56,14 +56,14 @@
 }
 
 type groupReply struct {
-	ID        string                `json:"id"`
-	Home      string                `json:"home"`
-	Share     string                `json:"share"`
-	Asked     string                `json:"asked"`
-	WhyNot    string                `json:"why_not"`
-	Queued    int                   `json:"queued"`
-	InFlight  int                   `json:"in_flight"`
-	Searchers []searcherStatusReply `json:"searchers"`
+	ID         string                `json:"id"`
+	Home       string                `json:"home"`
+	Share      string                `json:"share"`
+	AskedShare string                `json:"asked"`
+	WhyNot     string                `json:"why_not"`
+	Queued     int                   `json:"queued"`
+	InFlight   int                   `json:"in_flight"`
+	Searchers  []searcherStatusReply `json:"searchers"`
 }
 
 type searcherStatusReply struct {
@@ -71,10 +71,11 @@
 	State string `json:"state"`
 }
 
-// shownSections are the sections that statusReply covers.
-var shownSections = []string{"daemon", "cell", "services"}
+// knownSections are the top-level keys that statusReply decodes.
+var knownSections = []string{"daemon", "cell", "services"}
 
-// decodeStatus returns the known part of a status and the sections that are not known.
+// decodeStatus returns the fields that statusReply knows and the remaining sections
+// of a status.
 func decodeStatus(body []byte) (statusReply, map[string]json.RawMessage, error) {
 	var known statusReply
 	var sections map[string]json.RawMessage
@@ -84,7 +85,7 @@
 	if err := json.Unmarshal(body, &known); err != nil {
 		return known, nil, err
 	}
-	for _, s := range shownSections {
+	for _, s := range knownSections {
 		delete(sections, s)
 	}
 	return known, sections, nil
--- a/command/version.go
+++ b/command/version.go
@@ -7,7 +7,7 @@
 
 type versionCommand struct{}
 
-// Run prints the version, the revision and the compiler.
+// Run prints the module version, the VCS revision and the Go version.
 func (*versionCommand) Run(env *Env) error {
 	version, revision, compiler := "(devel)", "", ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/command/wait.go
+++ b/command/wait.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// waitPause is the time between two readings of a daemon's status.
-	waitPause = 200 * time.Millisecond
-	// waitTimeout bounds one reading.
-	waitTimeout = 2 * time.Second
+	// waitPollInterval is the pause between two reads of a daemon's status.
+	waitPollInterval = 200 * time.Millisecond
+	// waitReadTimeout bounds one read of a daemon's status.
+	waitReadTimeout = 2 * time.Second
 )
 
-// waitFlags are the flags of a command that waits until a change is in force.
+// waitFlags are the flags of a command that can wait until a change is in force.
 type waitFlags struct {
 	Wait     time.Duration `help:"Time to wait until every daemon of --operator has the change in force. The default does not wait."`
 	Operator []string      `placeholder:"IP:PORT" env:"MEDLARYARD_OPERATOR" help:"Operators' addresses of the daemons that --wait asks, repeated or separated by commas."`
 	KeyFile  string        `type:"existingfile" help:"File with the operators' key, if the daemons require one."`
 }
 
-// Validate checks that there is a daemon to wait for.
+// Validate checks that --wait comes with the address of at least one daemon.
 func (f *waitFlags) Validate() error {
 	if f.Wait > 0 && len(f.Operator) == 0 {
 		return errors.New("--wait: needs --operator")
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// wait returns when every daemon has at least the generation in force. It gives
-// up at once when a daemon refuses the generation, and otherwise after f.Wait.
+// wait polls the daemons until each has the generation or a newer one in force. It
+// fails at once if a daemon refuses the generation, and otherwise after f.Wait. If
+// f.Wait is 0 it polls nothing.
 func (f *waitFlags) wait(env *Env, generation uint64) error {
 	if f.Wait == 0 {
 		return nil
@@ -43,10 +44,10 @@
 	if err != nil {
 		return err
 	}
-	end := env.Clock.Boot() + f.Wait
+	deadline := env.Clock.Boot() + f.Wait
 	for _, address := range f.Operator {
-		daemon := client{address: address, key: key, timeout: waitTimeout}
-		if err := waitFor(env, daemon, generation, end); err != nil {
+		daemon := client{address: address, key: key, timeout: waitReadTimeout}
+		if err := waitForGeneration(env, daemon, generation, deadline); err != nil {
 			return eris.Wrapf(err, "generation %d is stored, but not in force on every daemon", generation)
 		}
 	}
@@ -54,25 +55,27 @@
 	return err
 }
 
-func waitFor(env *Env, daemon client, generation uint64, end time.Duration) error {
+// waitForGeneration polls one daemon until deadline, a reading of clock.Clock.Boot.
+// It fails at once if the daemon refuses the generation.
+func waitForGeneration(env *Env, daemon client, generation uint64, deadline time.Duration) error {
 	for {
-		c, err := inForce(env, daemon)
+		c, err := fetchCellStatus(env, daemon)
 		switch {
-		case err == nil && c.InForce >= generation:
+		case err == nil && c.InForceGeneration >= generation:
 			return nil
-		case err == nil && c.Asked >= generation && c.Refused != "":
-			return eris.Errorf("daemon at %s refuses generation %d: %s", daemon.address, c.Asked, c.Refused)
+		case err == nil && c.AskedGeneration >= generation && c.Refused != "":
+			return eris.Errorf("daemon at %s refuses generation %d: %s", daemon.address, c.AskedGeneration, c.Refused)
 		case err == nil:
-			err = eris.Errorf("daemon at %s has generation %d in force", daemon.address, c.InForce)
+			err = eris.Errorf("daemon at %s has generation %d in force", daemon.address, c.InForceGeneration)
 		}
-		if env.Clock.Boot() >= end || clock.Sleep(env.ctx, env.Clock, waitPause) != nil {
+		if env.Clock.Boot() >= deadline || clock.Sleep(env.ctx, env.Clock, waitPollInterval) != nil {
 			return err
 		}
 	}
 }
 
-// inForce returns what a daemon has in force.
-func inForce(env *Env, daemon client) (cellReply, error) {
+// fetchCellStatus returns the cell section of a daemon's status.
+func fetchCellStatus(env *Env, daemon client) (cellReply, error) {
 	r, err := daemon.get(env.ctx, "/v1/status")
 	if err != nil {
 		return cellReply{}, err
@@ -81,5 +84,5 @@
 		return cellReply{}, eris.Errorf("daemon at %s answers %d: %.200s", daemon.address, r.status, r.body)
 	}
 	s, _, err := decodeStatus(r.body)
-	return s.Cell, eris.Wrapf(err, "status of the daemon at %s", daemon.address)
+	return s.Cell, eris.Wrapf(err, "decode status of the daemon at %s", daemon.address)
 }
