--- a/store/counted.go
+++ b/store/counted.go
@@ -7,13 +7,13 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// Counted is a Store that counts the calls to another one by operation and
-// outcome, for example "store.put.conflict".
+// Counted is a Store that passes all calls to another Store and counts them by
+// operation and outcome, for example in the metric "store.put.conflict".
 type Counted struct{ next Store }
 
 var _ Store = (*Counted)(nil)
 
-// NewCounted returns a Store that passes every call to s and counts it.
+// NewCounted returns a Counted that wraps s.
 func NewCounted(s Store) *Counted { return &Counted{next: s} }
 
 // Get implements Store.
--- a/store/doc.go
+++ b/store/doc.go
@@ -1,3 +1,4 @@
-// Package store is the interface to the platform's object store, with its HTTP
-// adapter and a wrapper that counts every call.
+// Package store defines the interface to the platform's object store, which holds
+// versioned objects and supports conditional writes and watches. HTTP is the client
+// of the store's HTTP API, and Counted is a wrapper that counts every call.
 package store
--- a/store/http.go
+++ b/store/http.go
@@ -17,22 +17,24 @@
 )
 
 const (
-	// defaultTimeout is long against a store that answers in milliseconds and
-	// short against the leases of 3 to 5 s that depend on it.
+	// defaultTimeout is much longer than the store's usual response time of some
+	// milliseconds, and shorter than the leases of 3 to 5 s that depend on the store.
 	defaultTimeout = time.Second
-	// defaultWatchWait keeps a pending watch below the idle limits that are
-	// customary for TCP connections.
+	// defaultWatchWait is below the usual idle timeouts of TCP connections, so that a
+	// pending watch is not disconnected.
 	defaultWatchWait = 25 * time.Second
-	// idleConnections is enough for the watch, the lease and one write at once.
+	// idleConnections allows the watch, the lease and one write to run concurrently
+	// without new connections.
 	idleConnections = 4
 )
 
-// HTTP is the Store that speaks the object protocol of docs/platform-protocols.md.
+// HTTP is a Store that calls the object API described in
+// docs/platform-protocols.md.
 type HTTP struct {
-	base    string
-	client  *http.Client
-	timeout time.Duration
-	wait    time.Duration
+	base      string
+	client    *http.Client
+	timeout   time.Duration
+	watchWait time.Duration
 }
 
 var _ Store = (*HTTP)(nil)
@@ -46,8 +48,8 @@
 			MaxIdleConnsPerHost: idleConnections,
 			IdleConnTimeout:     defaultWatchWait,
 		}},
-		timeout: defaultTimeout,
-		wait:    defaultWatchWait,
+		timeout:   defaultTimeout,
+		watchWait: defaultWatchWait,
 	}
 	for _, o := range opts {
 		o(h)
@@ -62,7 +64,7 @@
 	return h.object(ctx, http.MethodGet, h.objectURL(key), nil)
 }
 
-// Put implements Store. A value above MaxValueBytes fails without a call.
+// Put implements Store. It rejects a value above MaxValueBytes without a call.
 func (h *HTTP) Put(ctx context.Context, key string, value []byte, expected uint64) (Object, error) {
 	if len(value) > MaxValueBytes {
 		return Object{}, fmt.Errorf("value of %q has %d bytes, the limit is %d", key, len(value), MaxValueBytes)
@@ -80,13 +82,14 @@
 	return h.object(ctx, http.MethodPut, h.objectURL(key), body)
 }
 
-// Watch implements Store by long polls. An object that does not exist has version 0.
+// Watch implements Store by repeated long polls. An object that does not exist
+// counts as version 0.
 func (h *HTTP) Watch(ctx context.Context, key string, seen uint64) (Object, error) {
-	q := url.Values{"seen": {strconv.FormatUint(seen, 10)}, "wait_ms": {strconv.FormatInt(h.wait.Milliseconds(), 10)}}
+	q := url.Values{"seen": {strconv.FormatUint(seen, 10)}, "wait_ms": {strconv.FormatInt(h.watchWait.Milliseconds(), 10)}}
 	for {
-		// The store counts each poll of a watch as a call.
+		// The store counts each poll of a watch against its rate limits.
 		meter.Count("store.watch.polls", 1)
-		poll, cancel := context.WithTimeout(ctx, h.wait+h.timeout)
+		poll, cancel := context.WithTimeout(ctx, h.watchWait+h.timeout)
 		o, err := h.object(poll, http.MethodGet, h.objectURL(key)+"?"+q.Encode(), nil)
 		cancel()
 		if ctx.Err() != nil && err != nil {
@@ -113,12 +116,12 @@
 	return objects, nil
 }
 
-// errUnchanged is a long poll that ended without a change.
+// errUnchanged means that a long poll ended without a change of the object.
 var errUnchanged = errors.New("object did not change")
 
 func (h *HTTP) objectURL(key string) string { return h.base + "/v1/objects/" + escapeKey(key) }
 
-// escapeKey leaves slashes in place, because they are part of the path.
+// escapeKey escapes the segments of a key for a URL path and keeps the slashes.
 func escapeKey(key string) string {
 	parts := strings.Split(key, "/")
 	for i, p := range parts {
@@ -129,17 +132,20 @@
 
 func (h *HTTP) object(ctx context.Context, method, target string, body []byte) (Object, error) {
 	var w wireObject
-	// Base64 needs 4 bytes for 3, and the rest of the object a few hundred.
+	// Base64 encodes 3 bytes of the value as 4, and the other fields need a few
+	// hundred bytes, so twice the maximum value size is enough.
 	if err := h.call(ctx, method, target, body, 2*MaxValueBytes, &w); err != nil {
 		return Object{}, err
 	}
 	return w.object(), nil
 }
 
-func (h *HTTP) call(ctx context.Context, method, target string, body []byte, limit int64, into any) error {
+// call sends one request and decodes the JSON reply into dst. It reads at most limit
+// bytes. A reply that is too long or malformed gives ErrUnavailable.
+func (h *HTTP) call(ctx context.Context, method, target string, body []byte, limit int64, dst any) error {
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("store request %s %s: %w", method, target, err)
+		return fmt.Errorf("create store request %s %s: %w", method, target, err)
 	}
 	resp, err := h.client.Do(req)
 	if err != nil {
@@ -148,7 +154,7 @@
 	defer resp.Body.Close()
 	if err := statusError(resp.StatusCode); err != nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, limit))
-		return fmt.Errorf("%w: %s %s: status %d", err, method, target, resp.StatusCode)
+		return fmt.Errorf("%w: %s %s: store returned status %d", err, method, target, resp.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
@@ -157,14 +163,14 @@
 	if int64(len(data)) > limit {
 		return fmt.Errorf("%w: reply of %s %s exceeds %d bytes", ErrUnavailable, method, target, limit)
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, dst); err != nil {
 		return fmt.Errorf("%w: decoding reply of %s %s: %w", ErrUnavailable, method, target, err)
 	}
 	return nil
 }
 
-// statusError maps every status but the documented ones to ErrUnavailable,
-// because nothing is known about the fate of the call.
+// statusError returns the error for an HTTP status, or nil for 200. An undocumented
+// status gives ErrUnavailable, because the outcome of the call is unknown.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
--- a/store/http_test.go
+++ b/store/http_test.go
@@ -14,8 +14,8 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// each runs f against the store in memory and against the HTTP adapter on it.
-func each(t *testing.T, f func(t *testing.T, fake *objects.Store, s store.Store)) {
+// forEachStore runs f on the in-memory store and on the HTTP client of that store.
+func forEachStore(t *testing.T, f func(t *testing.T, fake *objects.Store, s store.Store)) {
 	t.Run("memory", func(t *testing.T) {
 		fake := objects.New()
 		f(t, fake, fake)
@@ -24,7 +24,7 @@
 		fake := objects.New()
 		server := httptest.NewServer(objects.NewHandler(fake))
 		defer server.Close()
-		// A short wait makes every watch poll several times.
+		// The short wait makes each watch poll several times.
 		f(t, fake, store.NewHTTP(server.URL, store.WithWatchWait(5*time.Millisecond)))
 	})
 }
@@ -36,10 +36,10 @@
 	}
 }
 
-// Guards against a write that ignores the expected version, which would let two
-// operators or two lease holders overwrite each other.
+// Guards against a write that ignores the expected version. Two operators or two
+// lease holders could then overwrite each other's objects.
 func TestConditionalUpdate(t *testing.T) {
-	each(t, func(t *testing.T, _ *objects.Store, s store.Store) {
+	forEachStore(t, func(t *testing.T, _ *objects.Store, s store.Store) {
 		ctx := context.Background()
 		_, err := s.Get(ctx, "lease/a b")
 		wantErr(t, "get of absent object", err, store.ErrNotFound)
@@ -65,10 +65,10 @@
 	})
 }
 
-// Guards against a watch that misses a change, returns without one or outlives
-// its context.
+// Guards against a watch that misses a change, returns without a change, or
+// continues after its context has ended.
 func TestWatch(t *testing.T) {
-	each(t, func(t *testing.T, fake *objects.Store, s store.Store) {
+	forEachStore(t, func(t *testing.T, fake *objects.Store, s store.Store) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		got := make(chan store.Object)
@@ -99,9 +99,10 @@
 	})
 }
 
-// Guards against an outage or a lost reply being taken for a refusal or a success.
+// Guards against an outage or a lost reply that is reported as a conflict or as a
+// success. A write whose reply is lost has still taken effect.
 func TestUnknownOutcome(t *testing.T) {
-	each(t, func(t *testing.T, fake *objects.Store, s store.Store) {
+	forEachStore(t, func(t *testing.T, fake *objects.Store, s store.Store) {
 		ctx := context.Background()
 		fake.SetFaults(objects.Faults{LosePuts: 1})
 		_, err := s.Put(ctx, "k", []byte("written"), store.Absent)
@@ -119,10 +120,10 @@
 	})
 }
 
-// Guards against values above the platform's limit, and against a call that is
-// not counted or counted under another outcome.
+// Guards against writes of values above the platform's limit, and against calls
+// that are not counted or are counted under the wrong outcome.
 func TestLimitAndCounters(t *testing.T) {
-	each(t, func(t *testing.T, _ *objects.Store, s store.Store) {
+	forEachStore(t, func(t *testing.T, _ *objects.Store, s store.Store) {
 		ctx := context.Background()
 		counted := store.NewCounted(s)
 		failed, ok, missing := meter.Value("store.put.failed"), meter.Value("store.put.ok"), meter.Value("store.get.not_found")
@@ -131,7 +132,7 @@
 		}
 		value := bytes.Repeat([]byte{0xff}, store.MaxValueBytes)
 		if o, err := counted.Put(ctx, "fits", value, store.Any); err != nil || !bytes.Equal(o.Value(), value) {
-			t.Errorf("value of the highest size: %d bytes back, error %v", len(o.Value()), err)
+			t.Errorf("value of the maximum size: %d bytes returned, error %v", len(o.Value()), err)
 		}
 		_, _ = counted.Get(ctx, "absent")
 		if meter.Value("store.put.failed") != failed+1 || meter.Value("store.put.ok") != ok+1 ||
@@ -141,9 +142,9 @@
 	})
 }
 
-// Guards against replies that break the protocol being taken for objects, and
-// against a call that waits for a silent store beyond its timeout.
-func TestDamagedReplies(t *testing.T) {
+// Guards against malformed replies that are accepted as objects, and against a call
+// that exceeds its timeout because the store does not answer.
+func TestMalformedReplies(t *testing.T) {
 	release := make(chan struct{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/objects/text", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) })
--- a/store/wire.go
+++ b/store/wire.go
@@ -1,9 +1,11 @@
 package store
 
-// MaxValueBytes is the highest size of a value, a limit of the platform's store.
+// MaxValueBytes is the maximum size of a value, 1 MB, which the platform's store
+// enforces.
 const MaxValueBytes = 1 << 20
 
-// maxListBytes bounds a List reply, so that a faulty store cannot exhaust memory.
+// maxListBytes is the maximum size of a List reply. It prevents a faulty store from
+// exhausting the daemon's memory.
 const maxListBytes = 64 << 20
 
 type wireObject struct {
@@ -19,7 +21,7 @@
 }
 
 type wirePut struct {
-	// Expected is absent for an unconditional write.
+	// Expected is nil for an unconditional write.
 	Expected *uint64 `json:"expected,omitempty"`
 	Value    []byte  `json:"value"`
 }
