--- a/vmlist/doc.go
+++ b/vmlist/doc.go
@@ -1,3 +1,4 @@
-// Package vmlist reads the platform's list of VMs. The list lags behind the
-// actual state, so it only speeds up what health checks and heartbeats decide.
+// Package vmlist polls the platform's list of VMs over HTTP and keeps the
+// last reply. The list lags behind the actual state, so it only speeds up decisions
+// that health checks and heartbeats would also reach.
 package vmlist
--- a/vmlist/list_test.go
+++ b/vmlist/list_test.go
@@ -7,8 +7,8 @@
 	"medlaryard.example/medlaryard/vmlist"
 )
 
-// Guards against a list that is unknown or old and still counts as proof that a
-// VM is gone.
+// Guards against reporting a VM as removed on the evidence of an old list or of a
+// list that was never read.
 func TestListed(t *testing.T) {
 	list := vmlist.NewList([]vmlist.VM{
 		vmlist.NewVM("vm-1", "10.0.0.1", "a", false), vmlist.NewVM("vm-2", "10.0.0.2", "a", true),
--- a/vmlist/reader.go
+++ b/vmlist/reader.go
@@ -16,7 +16,8 @@
 const (
 	defaultInterval = time.Second
 	defaultTimeout  = time.Second
-	// maxReplyBytes is 200 bytes for each of 80,000 VMs, above the size in two years.
+	// maxReplyBytes allows 200 bytes for each of 80,000 VMs, more than the number
+	// expected in two years.
 	maxReplyBytes = 16 << 20
 )
 
@@ -31,7 +32,7 @@
 	VMs []wireVM `json:"vms"`
 }
 
-// Reader polls the VM list and keeps the last reply.
+// Reader polls the VM list and keeps the last valid reply.
 type Reader struct {
 	url      string
 	client   *http.Client
@@ -45,22 +46,21 @@
 	err  error
 }
 
-// Option changes how NewReader builds a Reader.
+// Option configures a Reader.
 type Option func(*Reader)
 
 // WithClock replaces the system clock.
 func WithClock(c clock.Clock) Option { return func(r *Reader) { r.clock = c } }
 
-// WithInterval sets the pause between two polls.
+// WithInterval sets the pause between two polls. The default is 1 s.
 func WithInterval(d time.Duration) Option { return func(r *Reader) { r.interval = d } }
 
 // NewReader returns a Reader of the list at base, for example
-// "http://10.0.0.1:7001". It polls after Start.
+// "http://10.0.0.1:7001". Start begins the polling.
 func NewReader(base string, opts ...Option) *Reader {
 	r := &Reader{
 		url: base + "/v1/vms",
-		// A transport of its own, because the default one obeys the proxy
-		// settings of the environment.
+		// The default transport would use the proxy settings of the environment.
 		client:   &http.Client{Timeout: defaultTimeout, Transport: &http.Transport{}},
 		clock:    clock.System{},
 		interval: defaultInterval,
@@ -72,7 +72,7 @@
 	return r
 }
 
-// Start begins to poll. It is called once.
+// Start starts a goroutine that polls until Close. It must be called at most once.
 func (r *Reader) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
@@ -87,7 +87,7 @@
 	}()
 }
 
-// Close stops polling and waits for a pending poll to end.
+// Close stops polling and waits until a pending poll has ended.
 func (r *Reader) Close() {
 	if r.cancel == nil {
 		return
@@ -97,26 +97,26 @@
 	r.client.CloseIdleConnections()
 }
 
-// List returns the last list that was read.
+// List returns the last list that was read successfully.
 func (r *Reader) List() List {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.last
 }
 
-// Err returns the error of the last poll, nil when it succeeded.
+// Err returns the error of the last poll, or nil if it succeeded.
 func (r *Reader) Err() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.err
 }
 
-// Poll reads the list once. The last list is kept when it fails.
+// Poll requests the list once. If that fails, the Reader keeps the last list.
 func (r *Reader) Poll(ctx context.Context) error {
-	// The time of the reply would make a list look new when this VM was paused
-	// while it waited.
-	asked := r.clock.Boot()
-	vms, err := r.read(ctx)
+	// The age of the list counts from the request. Counted from the reply, a list
+	// would look new after a pause of this VM during the request.
+	requestedAt := r.clock.Boot()
+	vms, err := r.fetch(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = err
@@ -125,33 +125,33 @@
 		return err
 	}
 	meter.Count("vmlist.poll.ok", 1)
-	r.last = NewList(vms, asked)
+	r.last = NewList(vms, requestedAt)
 	return nil
 }
 
-func (r *Reader) read(ctx context.Context) ([]VM, error) {
+func (r *Reader) fetch(ctx context.Context) ([]VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url, nil)
 	if err != nil {
-		return nil, fmt.Errorf("VM list request: %w", err)
+		return nil, fmt.Errorf("create VM list request: %w", err)
 	}
 	resp, err := r.client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("VM list: %w", err)
+		return nil, fmt.Errorf("request VM list: %w", err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("VM list %s: status %d", r.url, resp.StatusCode)
+		return nil, fmt.Errorf("VM list at %s: server returned status %d", r.url, resp.StatusCode)
 	}
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("VM list %s: %w", r.url, err)
+		return nil, fmt.Errorf("read VM list from %s: %w", r.url, err)
 	}
 	if len(data) > maxReplyBytes {
-		return nil, fmt.Errorf("VM list %s exceeds %d bytes", r.url, maxReplyBytes)
+		return nil, fmt.Errorf("VM list at %s exceeds %d bytes", r.url, maxReplyBytes)
 	}
 	var reply wireReply
 	if err := json.Unmarshal(data, &reply); err != nil {
-		return nil, fmt.Errorf("VM list %s: %w", r.url, err)
+		return nil, fmt.Errorf("decode VM list from %s: %w", r.url, err)
 	}
 	vms := make([]VM, 0, len(reply.VMs))
 	for _, v := range reply.VMs {
--- a/vmlist/reader_test.go
+++ b/vmlist/reader_test.go
@@ -11,8 +11,8 @@
 	"medlaryard.example/medlaryard/vmlist"
 )
 
-// Guards against a failed poll that discards the last list or makes it look new.
-func TestLastListIsKept(t *testing.T) {
+// Guards against a failed poll that discards the last list or resets its age.
+func TestPollFailureKeepsLastList(t *testing.T) {
 	c := clocktest.New()
 	server := vms.NewServer(c, vms.VM{Name: "vm-1", Address: "10.0.0.1", Domain: "a"})
 	h := httptest.NewServer(server)
@@ -37,7 +37,7 @@
 	server.SetOutage(true)
 	c.Advance(3 * time.Second)
 	if r.Poll(ctx) == nil || r.Err() == nil {
-		t.Error("a poll in an outage succeeded")
+		t.Error("a poll succeeded during an outage")
 	}
 	if l := r.List(); l.Len() != 1 || l.Age(c.Boot()) != 3*time.Second {
 		t.Errorf("%d VMs of age %v in an outage, want 1 of age 3s", l.Len(), l.Age(c.Boot()))
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against a reader that polls once only or keeps polling after Close.
+// Guards against a reader that polls only once or continues to poll after Close.
 func TestStartAndClose(t *testing.T) {
 	c := clocktest.New()
 	server := vms.NewServer(c)
