--- a/bearer/doc.go
+++ b/bearer/doc.go
@@ -1,3 +1,4 @@
-// Package bearer guards an HTTP interface with one shared key, sent as a
-// bearer token. It authenticates but does not encrypt.
+// Package bearer authenticates HTTP requests by one shared key, which clients send
+// as a bearer token. It does not encrypt: the key is sent in clear text unless the
+// connection is encrypted.
 package bearer
--- a/bearer/guard.go
+++ b/bearer/guard.go
@@ -11,17 +11,19 @@
 
 const prefix = "Bearer "
 
-// Guard passes requests that carry key to next and answers others with 401,
-// except for requests to the open paths. An empty key guards nothing.
-func Guard(key string, next http.Handler, open ...string) http.Handler {
+// Guard returns a handler that passes requests with key to next and rejects others
+// with status 401. Requests whose path is in openPaths need no key. With an empty
+// key, Guard returns next, so no request needs one.
+func Guard(key string, next http.Handler, openPaths ...string) http.Handler {
 	if key == "" {
 		return next
 	}
-	// Hashes have equal lengths, so the comparison does not reveal the key's length.
+	// Both hashes have the same length, so the time of the comparison does not
+	// reveal the length of the key.
 	want := sha256.Sum256([]byte(prefix + key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(r.Header.Get("Authorization")))
-		if !slices.Contains(open, r.URL.Path) && subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
+		if !slices.Contains(openPaths, r.URL.Path) && subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 			meter.Count("operator.unauthorized", 1)
 			w.Header().Set("WWW-Authenticate", "Bearer")
 			http.Error(w, "a bearer token with the operators' key is required", http.StatusUnauthorized)
@@ -31,7 +33,8 @@
 	})
 }
 
-// Set adds key to a request. An empty key adds nothing.
+// Set adds key to the headers of r as a bearer token. If key is empty, it changes
+// nothing.
 func Set(r *http.Request, key string) {
 	if key != "" {
 		r.Header.Set("Authorization", prefix+key)
--- a/bearer/guard_test.go
+++ b/bearer/guard_test.go
@@ -8,8 +8,8 @@
 	"medlaryard.example/medlaryard/bearer"
 )
 
-// Guards against an operators' interface that answers without the key, and
-// against a health check that needs one.
+// Guards against an operators' interface that accepts requests without the key, and
+// against a health check that requires the key.
 func TestGuard(t *testing.T) {
 	ok := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	tests := []struct {
