--- a/command/code.go
+++ b/command/code.go
@@ -43,14 +43,14 @@
 	retryable bool
 }
 
-func (f *exitError) Error() string { return f.err.Error() }
-func (f *exitError) Unwrap() error { return f.err }
+func (e *exitError) Error() string { return e.err.Error() }
+func (e *exitError) Unwrap() error { return e.err }
 
 // exitCode returns the exit code for err. An error without a code of its own
 // gives Failed.
 func exitCode(err error) Code {
 	var (
-		f       *exitError
+		e       *exitError
 		ps      *syntax.Problems
 		race    *publish.Race
 		unknown *publish.Unknown
@@ -58,8 +58,8 @@
 	switch {
 	case err == nil:
 		return OK
-	case errors.As(err, &f):
-		return f.code
+	case errors.As(err, &e):
+		return e.code
 	case errors.As(err, &ps):
 		return InvalidInput
 	case errors.As(err, &race):
