--- a/query/world_test.go
+++ b/query/cluster_test.go
@@ -15,9 +15,9 @@
 	"medlaryard.example/medlaryard/targets"
 )
 
-// world is an engine over emulated targets. It runs in simulated time, so a test
-// of a load has the same result in every run.
-type world struct {
+// testCluster is an engine with emulated targets. It runs in simulated time, so
+// load tests have the same result in every run.
+type testCluster struct {
 	t        *testing.T
 	emulator *shards.Emulator
 	engine   *query.Engine
@@ -27,16 +27,16 @@
 	table    *route.Table
 }
 
-// simulated is the clock of simulated time.
-type simulated struct{ clock.System }
+// simulatedClock is a clock whose boot time is simulated too.
+type simulatedClock struct{ clock.System }
 
-// Boot returns the simulated time since an arbitrary moment.
-func (simulated) Boot() time.Duration { return time.Duration(time.Now().UnixNano()) }
+// Boot returns the simulated time since an arbitrary start.
+func (simulatedClock) Boot() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// newWorld starts a service of so many shards with two targets each.
-func newWorld(t *testing.T, seed int64, count int, b shards.Behaviour, opts ...route.Option) *world {
+// newTestCluster starts count shards with two targets each and a route to them.
+func newTestCluster(t *testing.T, seed int64, count int, b shards.Behaviour, opts ...route.Option) *testCluster {
 	t.Helper()
-	w := &world{
+	c := &testCluster{
 		t: t, emulator: shards.New(seed), groups: make(map[string]*targets.Group),
 		targets: make(map[string][]*shards.Target),
 	}
@@ -46,52 +46,52 @@
 		name := fmt.Sprintf("shard%d", i)
 		names = append(names, name)
 		services = append(services, route.NewService(name, 26, 0, 0))
-		w.add(name, b)
+		c.addShard(name, b)
 	}
 	opts = append([]route.Option{
 		route.Idempotent(), route.MaxTargets(2), route.Timeout(1500 * time.Millisecond),
 		route.Objective(100 * time.Millisecond), route.Sharded(names, 50, 0.89),
 	}, opts...)
-	w.route = route.New("match", "songs.example", "/match/", opts...)
-	w.table = route.NewTable(1, []*route.Route{w.route}, services, route.Limits{})
-	w.engine = query.NewEngine(query.Stamp(platform.Stamp), query.Clock(simulated{}))
-	w.engine.Install(w.table, w.groups)
-	time.Sleep(100 * time.Millisecond) // The first connections are made.
-	return w
+	c.route = route.New("match", "songs.example", "/match/", opts...)
+	c.table = route.NewTable(1, []*route.Route{c.route}, services, route.Limits{})
+	c.engine = query.NewEngine(query.Stamp(platform.Stamp), query.Clock(simulatedClock{}))
+	c.engine.Install(c.table, c.groups)
+	time.Sleep(100 * time.Millisecond) // The first connections are opened.
+	return c
 }
 
-func (w *world) add(name string, b shards.Behaviour) {
-	g := targets.NewGroup(name, platform.TargetProtocol(), targets.Dial(w.emulator.Dial), targets.PreferDomain("a"), targets.Clock(simulated{}),
-		targets.OnCrash(func(fingerprint uint64) { w.engine.Crashed(fingerprint) }))
+func (c *testCluster) addShard(name string, b shards.Behaviour) {
+	g := targets.NewGroup(name, platform.TargetProtocol(), targets.Dial(c.emulator.Dial), targets.PreferDomain("a"), targets.Clock(simulatedClock{}),
+		targets.OnCrash(func(fingerprint uint64) { c.engine.Crashed(fingerprint) }))
 	g.Resize(targets.NewSizing(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
 	var entries []targets.Entry
-	for i, zone := range []string{"a", "b"} {
-		e := w.emulator.Add(fmt.Sprintf("%s-%d", name, i), b)
-		w.targets[name] = append(w.targets[name], e)
-		entries = append(entries, targets.NewEntry(e.ID(), name, e.Address(), targets.Domain(zone, "r"), targets.Slots(2)))
+	for i, domain := range []string{"a", "b"} {
+		e := c.emulator.Add(fmt.Sprintf("%s-%d", name, i), b)
+		c.targets[name] = append(c.targets[name], e)
+		entries = append(entries, targets.NewEntry(e.ID(), name, e.Address(), targets.Domain(domain, "r"), targets.Slots(2)))
 	}
 	g.Update(entries)
-	w.groups[name] = g
+	c.groups[name] = g
 }
 
-// cool makes the targets of a shard cold for a while.
-func (w *world) cool(name string, d time.Duration) {
+// setCold makes the targets of a shard cold for d.
+func (c *testCluster) setCold(name string, d time.Duration) {
 	var entries []targets.Entry
-	for _, tgt := range w.targets[name] {
+	for _, tgt := range c.targets[name] {
 		entries = append(entries, targets.NewEntry(tgt.ID(), name, tgt.Address(), targets.Domain("a", "r"), targets.Slots(2), targets.WarmLeft(d)))
 	}
-	w.groups[name].Update(entries)
+	c.groups[name].Update(entries)
 }
 
-func (w *world) close() {
-	for _, g := range w.groups {
+func (c *testCluster) close() {
+	for _, g := range c.groups {
 		g.Close()
 	}
-	w.emulator.Close()
-	time.Sleep(time.Minute) // Timers and emulated targets end.
+	c.emulator.Close()
+	time.Sleep(time.Minute) // Lets timers and emulated targets end.
 }
 
-// reply is what a caller got.
+// reply is the result of one request.
 type reply struct {
 	at     time.Duration // Since the start of the load.
 	took   time.Duration
@@ -99,12 +99,12 @@
 	parts  int
 }
 
-// ask sends one request and waits for its answer.
-func (w *world) ask(ctx context.Context, id string) reply {
+// request sends one request and returns its result.
+func (c *testCluster) request(ctx context.Context, id string) reply {
 	started := time.Now()
-	patience := 1500 * time.Millisecond
-	send := targets.NewRequest(id, "GET", "/match/"+id, "songs.example", nil, nil, w.route.Idempotent(), simulated{}.Boot()+patience)
-	a := w.engine.Do(ctx, w.table, w.route, send, started, patience)
+	timeout := 1500 * time.Millisecond
+	req := targets.NewRequest(id, "GET", "/match/"+id, "songs.example", nil, nil, c.route.Idempotent(), simulatedClock{}.Boot()+timeout)
+	a := c.engine.Do(ctx, c.table, c.route, req, started, timeout)
 	r := reply{took: time.Since(started), answer: a}
 	if m := a.Merged(); m != nil {
 		r.parts = len(m.Stamps())
@@ -113,7 +113,7 @@
 }
 
 // load sends requests at a steady rate for a while and returns all replies.
-func (w *world) load(rate float64, d time.Duration) []reply {
+func (c *testCluster) load(rate float64, d time.Duration) []reply {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var replies []reply
@@ -123,7 +123,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r := w.ask(context.Background(), fmt.Sprintf("q%d", i))
+			r := c.request(context.Background(), fmt.Sprintf("q%d", i))
 			r.at = at
 			mu.Lock()
 			replies = append(replies, r)
@@ -135,9 +135,9 @@
 	return replies
 }
 
-// served returns the share of the replies that are a success within limit, and
-// the share of their parts that are in.
-func served(replies []reply, limit time.Duration) (inTime, coverage float64) {
+// successRate returns the share of the replies that are a success within limit,
+// and the share of parts that these replies contain.
+func successRate(replies []reply, limit time.Duration) (inTime, coverage float64) {
 	n, parts, of := 0, 0, 0
 	for _, r := range replies {
 		if m := r.answer.Merged(); m != nil && r.took <= limit {
@@ -149,11 +149,11 @@
 	return float64(n) / float64(max(len(replies), 1)), float64(parts) / float64(max(of, 1))
 }
 
-// arrivals returns how many sends beyond the first each shard got for each
-// request, on average.
-func (w *world) extra(requests int) float64 {
+// extraSends returns the average number of sends beyond the first per shard and
+// request.
+func (c *testCluster) extraSends(requests int) float64 {
 	total := 0
-	for _, ts := range w.targets {
+	for _, ts := range c.targets {
 		for _, t := range ts {
 			for _, n := range t.Runs() {
 				total += n
@@ -161,5 +161,5 @@
 			total += t.Refused()
 		}
 	}
-	return float64(total)/float64(requests*len(w.targets)) - 1
+	return float64(total)/float64(requests*len(c.targets)) - 1
 }
--- a/query/cold_test.go
+++ b/query/cold_test.go
@@ -8,34 +8,35 @@
 	"medlaryard.example/medlaryard/targets"
 )
 
-// Guards against requests that are held until their deadline because more shards
-// than may be missing have only cold targets, which bear fewer requests than
-// come. The load is 15 requests a second; the cold targets bear 8.
-func TestRequestsBeyondColdTargetsAreRefusedAtOnce(t *testing.T) {
+// Guards against requests that wait until their deadline because more shards
+// than may be missing have only cold targets. The load is 15 requests per
+// second, the limit of the two cold targets of a shard is 8.
+func TestGatherRefusesBeyondColdLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 11, 20, sound())
-		defer w.close()
+		c := newTestCluster(t, 11, 20, behaviour())
+		defer c.close()
 		limits := targets.NewColdLimits(4, 1.5, 5, 1, 0)
 		for _, name := range []string{"shard0", "shard1", "shard2", "shard3"} {
-			w.groups[name].Resize(targets.NewSizing(3, limits, targets.NewBudgetLimits(0.2, 54, 1), true))
-			w.cool(name, time.Minute)
+			c.groups[name].Resize(targets.NewSizing(3, limits, targets.NewBudgetLimits(0.2, 54, 1), true))
+			c.setCold(name, time.Minute)
 		}
-		replies := w.load(15, 10*time.Second)
+		replies := c.load(15, 10*time.Second)
 		answered := 0
 		for _, r := range replies {
 			switch f := r.answer.Refusal(); {
 			case f == nil:
 				answered++
 			case f.Kind() != "no_searcher" || r.answer.RetryAfter() == 0 || r.took > 5*time.Millisecond:
-				t.Errorf("refused as %s after %v with retry after %v, want no_searcher at once with a time", f.Kind(), r.took, r.answer.RetryAfter())
+				t.Errorf("refused as %s after %v with retry after %v, want no_searcher within 5 ms with a retry time", f.Kind(), r.took, r.answer.RetryAfter())
 			}
 		}
-		// Two targets bear 4 a second each, of which daemons use 0.8.
+		// The limit is 4 requests per second for each of two targets, of which
+		// daemons use 0.8.
 		if answered < 50 {
 			t.Errorf("%d of %d requests were answered, want 50 or more", answered, len(replies))
 		}
 		for _, name := range []string{"shard0", "shard3"} {
-			for _, tgt := range w.targets[name] {
+			for _, tgt := range c.targets[name] {
 				if n := tgt.MostArrivals(time.Second); n > 11 {
 					t.Errorf("cold target %s got %d requests within a second, the bound is 11", tgt.ID(), n)
 				}
--- a/query/doc.go
+++ b/query/doc.go
@@ -1,4 +1,8 @@
-// Package query answers the requests of callers. It sends a request to the
-// targets that its route names, decides on hedges and retries, merges the parts
-// of a sharded answer and decides when the answer is due.
+// Package query answers the requests of callers.
+//
+// An Engine holds the configuration in force. It sends each request to the
+// targets of the route's services and decides on retries and hedges. For a
+// sharded route it sends the request to one target of each shard, merges the
+// parts and decides when an answer with missing parts is returned. A request
+// that cannot be answered gets a refusal.
 package query
--- a/query/engine.go
+++ b/query/engine.go
@@ -20,25 +20,25 @@
 
 // Engine answers requests under the configuration in force.
 type Engine struct {
-	clock clock.Clock
-	log   zerolog.Logger
-	stamp func(*fasthttp.Response) string
-	allow func(*route.Route, targets.Entry) bool
-	crash *admission.Suspects
+	clock    clock.Clock
+	log      zerolog.Logger
+	stamp    func(*fasthttp.Response) string
+	allow    func(*route.Route, targets.Entry) bool
+	suspects *admission.Suspects
 
 	table  atomic.Pointer[route.Table]
 	mu     sync.RWMutex
 	groups map[string]*targets.Group
-	habits map[string]*habit
+	stats  map[string]*routeStats
 
-	storyMu  sync.Mutex
-	throttle *throttle
+	logMu    sync.Mutex
+	throttle *logThrottle
 }
 
-// habit is what is known of the requests of one route.
-type habit struct {
-	pace     *targets.LatencyEstimator
-	patience patienceVote
+// routeStats holds the estimates for the requests of one route.
+type routeStats struct {
+	latency  *targets.LatencyEstimator
+	timeouts timeoutVote
 }
 
 // Option sets one property of an Engine.
@@ -47,17 +47,18 @@
 // Clock sets the source of time.
 func Clock(c clock.Clock) Option { return func(e *Engine) { e.clock = c } }
 
-// Log sets where decisions are logged.
+// Log sets the logger for requests and decisions.
 func Log(l zerolog.Logger) Option { return func(e *Engine) { e.log = l } }
 
-// Stamp sets how the signature of a part is read from a target's answer.
+// Stamp sets the function that returns the signature of a part from a target's
+// answer.
 func Stamp(f func(*fasthttp.Response) string) Option { return func(e *Engine) { e.stamp = f } }
 
-// Allow sets which targets may serve a route.
+// Allow sets the function that reports whether a target may serve a route.
 func Allow(f func(*route.Route, targets.Entry) bool) Option { return func(e *Engine) { e.allow = f } }
 
 // Suspects sets the table of requests that crashed targets.
-func Suspects(s *admission.Suspects) Option { return func(e *Engine) { e.crash = s } }
+func Suspects(s *admission.Suspects) Option { return func(e *Engine) { e.suspects = s } }
 
 // NewEngine returns an engine without a configuration; it refuses all requests
 // until Install is called.
@@ -68,15 +69,15 @@
 		stamp:  func(*fasthttp.Response) string { return "" },
 		allow:  func(*route.Route, targets.Entry) bool { return true },
 		groups: make(map[string]*targets.Group),
-		habits: make(map[string]*habit),
+		stats:  make(map[string]*routeStats),
 
 		throttle: newThrottle(),
 	}
 	for _, o := range opts {
 		o(e)
 	}
-	if e.crash == nil {
-		e.crash = admission.NewSuspects(e.clock, func([]*peerpb.CrashStrike) {})
+	if e.suspects == nil {
+		e.suspects = admission.NewSuspects(e.clock, func([]*peerpb.CrashStrike) {})
 	}
 	return e
 }
@@ -84,13 +85,14 @@
 // Table returns the configuration in force, or nil.
 func (e *Engine) Table() *route.Table { return e.table.Load() }
 
-// Install puts a configuration and the groups of its services in force.
+// Install replaces the configuration and the groups of its services, and
+// deletes the statistics of routes that were removed.
 func (e *Engine) Install(t *route.Table, groups map[string]*targets.Group) {
 	e.mu.Lock()
 	e.groups = groups
-	for name := range e.habits {
+	for name := range e.stats {
 		if !t.HasRoute(name) {
-			delete(e.habits, name)
+			delete(e.stats, name)
 			meter.Forget(latencyMetric(name))
 		}
 	}
@@ -98,7 +100,7 @@
 	e.table.Store(t)
 }
 
-// latencyMetric is the name of the latency histogram of a route.
+// latencyMetric returns the name of the latency histogram of a route.
 func latencyMetric(route string) string { return "query.latency." + route }
 
 func (e *Engine) group(service string) *targets.Group {
@@ -107,69 +109,75 @@
 	return e.groups[service]
 }
 
-func (e *Engine) habit(r *route.Route) *habit {
+func (e *Engine) routeStats(r *route.Route) *routeStats {
 	e.mu.RLock()
-	h := e.habits[r.Name()]
+	stats := e.stats[r.Name()]
 	e.mu.RUnlock()
-	if h != nil {
-		return h
+	if stats != nil {
+		return stats
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if h = e.habits[r.Name()]; h == nil {
-		h = &habit{pace: targets.NewLatencyEstimator(r.Objective())}
-		e.habits[r.Name()] = h
+	if stats = e.stats[r.Name()]; stats == nil {
+		stats = &routeStats{latency: targets.NewLatencyEstimator(r.Objective())}
+		e.stats[r.Name()] = stats
 	}
-	return h
+	return stats
 }
 
 const (
-	// maxCrashes is after how many crashes equal requests are refused.
+	// maxCrashes is the number of crashes from which equal requests are
+	// refused.
 	maxCrashes = 2
-	// crashRound is the time within which crashes count as one, since a request
-	// runs on the targets of all shards at once.
-	crashRound = 700 * time.Millisecond
-	// outlawRetry is when a caller may try a refused suspect again.
-	outlawRetry = time.Second
+	// crashWindow is the time within which crashes count as one, because a
+	// request runs on targets of all shards at the same time.
+	crashWindow = 700 * time.Millisecond
+	// poisonedRetryAfter is the time after which a caller may retry a refused
+	// suspect.
+	poisonedRetryAfter = time.Second
 )
 
-// Crashed notes that a target crashed while it worked on a request.
+// Crashed records that a target crashed while it worked on the request with the
+// given fingerprint.
 func (e *Engine) Crashed(fingerprint uint64) {
 	switch {
-	case e.crash.Crashes(fingerprint) == 0:
-		e.crash.RecordCrash(fingerprint)
-	case e.crash.Age(fingerprint) > crashRound:
-		e.crash.RecordRepeatCrash(fingerprint)
+	case e.suspects.Crashes(fingerprint) == 0:
+		e.suspects.RecordCrash(fingerprint)
+	case e.suspects.Age(fingerprint) > crashWindow:
+		e.suspects.RecordRepeatCrash(fingerprint)
 	}
-	e.log.Warn().Uint64("fingerprint", fingerprint).Int("crashes", e.crash.Crashes(fingerprint)).
+	e.log.Warn().Uint64("fingerprint", fingerprint).Int("crashes", e.suspects.Crashes(fingerprint)).
 		Msg("target crashed while it worked on a request")
 }
 
-// Do answers one request of a caller that waits for patience. It returns early
-// when ctx ends because the caller has left.
-func (e *Engine) Do(ctx context.Context, t *route.Table, r *route.Route, send *targets.Request, started time.Time, patience time.Duration) Answer {
-	h := e.habit(r)
-	elapsed := time.Duration(h.patience.elapsed(patience.Milliseconds())) * time.Millisecond
+// Do answers one request, which arrived at started and whose caller waits for
+// callerTimeout. If ctx ends because the caller has left, it returns a refusal
+// at once.
+func (e *Engine) Do(ctx context.Context, t *route.Table, r *route.Route, request *targets.Request, started time.Time, callerTimeout time.Duration) Answer {
+	h := e.routeStats(r)
+	elapsed := time.Duration(h.timeouts.estimateElapsed(callerTimeout.Milliseconds())) * time.Millisecond
 	req := &run{
-		Engine: e, route: r, send: send, habit: h, started: started,
-		schedule: newSchedule(r, started, patience, elapsed, h.pace.Median()),
+		Engine: e, route: r, request: request, stats: h, started: started,
+		schedule: newSchedule(r, started, callerTimeout, elapsed, h.latency.Median()),
 	}
 	var a Answer
-	req.suspect = e.crash.Crashes(send.Fingerprint())
-	if req.suspect >= maxCrashes {
-		a = refuse(refusal.Poisoned, outlawRetry, "equal requests crashed targets twice")
+	req.suspectCrashes = e.suspects.Crashes(request.Fingerprint())
+	if req.suspectCrashes >= maxCrashes {
+		a = refuse(refusal.Poisoned, poisonedRetryAfter, "equal requests crashed targets twice")
 	} else if r.Sharded() {
 		a = req.gather(ctx)
 	} else {
 		a = req.single(ctx, r.NextService())
 	}
-	e.account(req, a, t.Version())
+	e.recordOutcome(req, a, t.Version())
 	return a
 }
 
-// account counts and logs the outcome of a request. Requests that failed, lack
-// parts or missed their objective are logged with the decisions about them.
-func (e *Engine) account(r *run, a Answer, version uint64) {
+// recordOutcome counts and logs the outcome of a request. Requests that failed,
+// lack parts or missed their objective are logged with the decisions made for
+// them, within the rate limit of the log; of the other requests a sample is
+// logged.
+func (e *Engine) recordOutcome(r *run, a Answer, version uint64) {
 	took := e.clock.Now().Sub(r.started)
 	meter.Latency(latencyMetric(r.route.Name()), took)
 	outcome, missing := "answered", 0
@@ -184,22 +192,22 @@
 		outcome = "late"
 		meter.Count("query.late", 1)
 	}
-	e.storyMu.Lock()
-	defer e.storyMu.Unlock()
-	if outcome == "answered" && !e.throttle.sampled() {
+	e.logMu.Lock()
+	defer e.logMu.Unlock()
+	if outcome == "answered" && !e.throttle.shouldSample() {
 		return
 	}
-	ok, leftOut := e.throttle.allow(e.clock.Now(), len(r.story)+1)
-	if leftOut > 0 {
-		e.log.Warn().Int("lines", leftOut).Msg("lines about requests were left out")
+	ok, dropped := e.throttle.allow(e.clock.Now(), len(r.decisions)+1)
+	if dropped > 0 {
+		e.log.Warn().Int("lines", dropped).Msg("lines about requests were left out")
 	}
 	if !ok {
 		return
 	}
-	r.tell(&e.log)
-	l := e.log.Info().Str("request", r.send.ID()).Str("route", r.route.Name()).Uint64("configuration", version).
+	r.logDecisions(&e.log)
+	l := e.log.Info().Str("request", r.request.ID()).Str("route", r.route.Name()).Uint64("configuration", version).
 		Str("outcome", outcome).Dur("took", took).Dur("objective", r.route.Objective()).
-		Dur("usual", r.habit.pace.Median()).Int("sends", r.sends)
+		Dur("usual", r.stats.latency.Median()).Int("sends", r.sends)
 	if missing > 0 {
 		l = l.Int("missing", missing).Strs("shards", r.missing)
 	}
--- a/query/gather.go
+++ b/query/gather.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// maxSends bounds the results that one part can produce: the sends that may
-	// run and those that targets refuse.
+	// maxSends bounds the calls of one part, including those that targets
+	// refuse, and thereby the results that it can produce.
 	maxSends = 8
-	// recheck is how often a shard without a target is tried again.
-	recheck = 25 * time.Millisecond
+	// recheckInterval is the delay before a shard without an available target
+	// is tried again.
+	recheckInterval = 25 * time.Millisecond
 )
 
 // gather sends the request to all shards and merges the parts.
@@ -22,24 +23,24 @@
 	names := r.route.Shards()
 	parts := make([]*part, len(names))
 	now := r.clock.Now()
-	soon := max(r.objective.Sub(now), 0)
-	open := 0
+	untilObjective := max(r.objective.Sub(now), 0)
+	available := 0
 	for i, name := range names {
 		parts[i] = &part{service: name, group: r.group(name)}
 		if parts[i].group == nil {
 			continue
 		}
-		parts[i].outlook = parts[i].group.Estimate(r.habit.pace, soon)
-		if parts[i].outlook.SendsInTime() {
-			open++
+		parts[i].estimate = parts[i].group.Estimate(r.stats.latency, untilObjective)
+		if parts[i].estimate.SendsInTime() {
+			available++
 		}
 	}
 	needed := r.route.MinShards()
-	if open < needed {
-		return refuse(refusal.NoSearcher, r.comeBack(now), "targets of %d of %d shards take requests, %d are needed", open, len(names), needed)
+	if available < needed {
+		return refuse(refusal.NoSearcher, r.retryAfter(now), "targets of %d of %d shards accept requests, %d are needed", available, len(names), needed)
 	}
 	r.results = make(chan *targets.Call, len(names)*maxSends)
-	r.strain(parts, needed, now)
+	r.deferSlowParts(parts, needed, now)
 	r.sendAll(parts, now)
 	callerLeft := true
 	defer func() {
@@ -51,22 +52,22 @@
 	defer timer.Stop()
 	for {
 		now = r.clock.Now()
-		r.release(parts, needed, now)
-		switch r.judge(now, count(parts, needed)) {
+		r.sendDeferred(parts, needed, now)
+		switch r.decide(now, countParts(parts, needed)) {
 		case answer:
 			callerLeft = false
-			r.noteSilent(parts)
+			r.recordUnanswered(parts)
 			return r.merge(parts)
 		case fail:
 			callerLeft = false
-			r.noteSilent(parts)
-			return r.unanswered(parts, now)
+			r.recordUnanswered(parts)
+			return r.insufficientParts(parts, now)
 		case wait:
 		}
 		select {
 		case c := <-r.results:
-			r.take(parts, c)
-			r.drain(parts)
+			r.handleResult(parts, c)
+			r.handleReadyResults(parts)
 		case <-timer.C():
 			now = r.clock.Now()
 			r.hedge(parts, now)
@@ -77,74 +78,76 @@
 	}
 }
 
-// drain takes in the results that are there already, so that the answer is
-// judged once for all of them.
-func (r *run) drain(parts []*part) {
+// handleReadyResults handles the results that are already available, so that
+// one decision covers all of them.
+func (r *run) handleReadyResults(parts []*part) {
 	for {
 		select {
 		case c := <-r.results:
-			r.take(parts, c)
+			r.handleResult(parts, c)
 		default:
 			return
 		}
 	}
 }
 
-// take accounts for a result and tries another target after a failure.
-func (r *run) take(parts []*part, c *targets.Call) {
+// handleResult records the result of a call and tries another target after a
+// failure.
+func (r *run) handleResult(parts []*part, c *targets.Call) {
 	p := parts[c.Tag()]
-	p.take(c)
-	r.noteResult(p, c)
-	if r.suspect > 0 {
-		r.takeSuspect(parts, p)
+	p.recordResult(c)
+	r.recordFailure(p, c)
+	if r.suspectCrashes > 0 {
+		r.handleSuspectResult(parts, p)
 		return
 	}
-	if p.answer != nil || p.open > 0 {
+	if p.answer != nil || p.pending > 0 {
 		return
 	}
 	if c.Outcome() == targets.NotSent {
-		return // The next check tries again, when a target may accept connections.
+		return // The next check tries again; a target may accept connections by then.
 	}
 	if r.attempt(p, c.Tag(), r.clock.Now(), false) {
 		meter.Count("query.retried."+string(c.Outcome()), 1)
 	}
 }
 
-// sendAll sends all parts that were not sent yet. A suspect goes to one shard
-// first; the others follow once that has answered.
+// sendAll sends all parts that were not sent yet and are not deferred. A
+// suspect is sent to one shard first, and to the others once that shard has
+// answered.
 func (r *run) sendAll(parts []*part, now time.Time) {
 	for i, p := range parts {
 		if p.group == nil || p.deferred || len(p.calls) > 0 {
 			continue
 		}
-		if r.attempt(p, i, now, false) && r.suspect > 0 {
+		if r.attempt(p, i, now, false) && r.suspectCrashes > 0 {
 			return
 		}
 	}
 }
 
-// takeSuspect clears a suspect that a target has answered and sends its other
-// parts. One that was not answered is given up.
-func (r *run) takeSuspect(parts []*part, p *part) {
+// handleSuspectResult clears a suspect after a successful answer and sends its
+// other parts. Without a successful answer it ends the request.
+func (r *run) handleSuspectResult(parts []*part, p *part) {
 	now := r.clock.Now()
 	if p.answer == nil {
 		r.end = now
 		return
 	}
-	r.suspect = 0
-	r.crash.Clear(r.send.Fingerprint())
+	r.suspectCrashes = 0
+	r.suspects.Clear(r.request.Fingerprint())
 	r.sendAll(parts, now)
 }
 
-// hedge sends parts whose target is silent for too long to another target, and
-// parts without any target once more.
+// hedge sends a part to a second target if the first one has not answered
+// within the hedge delay, and retries parts without a pending call.
 func (r *run) hedge(parts []*part, now time.Time) {
 	for i, p := range parts {
 		if p.answer != nil || p.group == nil || p.deferred {
 			continue
 		}
-		if p.open == 0 {
-			if r.suspect == 0 && now.Sub(p.tried) >= recheck {
+		if p.pending == 0 {
+			if r.suspectCrashes == 0 && now.Sub(p.lastAttempt) >= recheckInterval {
 				r.attempt(p, i, now, false)
 			}
 			continue
@@ -153,18 +156,18 @@
 	}
 }
 
-// nextCheck returns when to look at the parts again.
+// nextCheck returns when to check the parts again.
 func (r *run) nextCheck(parts []*part, now time.Time) time.Time {
-	next := r.next(now)
+	next := r.nextDecision(now)
 	for _, p := range parts {
 		if p.answer != nil || p.group == nil || p.deferred {
 			continue
 		}
 		var t time.Time
 		switch {
-		case p.open == 0:
-			t = now.Add(recheck)
-		case p.open == 1 && p.mayRun < r.maxTargets():
+		case p.pending == 0:
+			t = now.Add(recheckInterval)
+		case p.pending == 1 && p.mayRun < r.maxTargets():
 			t = r.nextHedge(p, now)
 		default:
 			continue
@@ -176,20 +179,20 @@
 	return next
 }
 
-func count(parts []*part, needed int) progress {
+func countParts(parts []*part, needed int) progress {
 	p := progress{shards: len(parts), needed: needed}
 	for _, part := range parts {
 		switch {
 		case part.answer != nil:
 			p.parts++
-		case part.open > 0:
+		case part.pending > 0:
 			p.pending++
 		}
 	}
 	return p
 }
 
-// merge makes the answer from the parts that are in.
+// merge returns the answer merged from the parts received.
 func (r *run) merge(parts []*part) Answer {
 	m := &Merged{}
 	bodies := make([][]byte, 0, len(parts))
@@ -210,11 +213,12 @@
 	return Answer{merged: m}
 }
 
-// unanswered explains why there are too few parts.
-func (r *run) unanswered(parts []*part, now time.Time) Answer {
-	p := count(parts, r.route.MinShards())
+// insufficientParts returns a refusal that explains why there are too few
+// parts.
+func (r *run) insufficientParts(parts []*part, now time.Time) Answer {
+	p := countParts(parts, r.route.MinShards())
 	if now.Before(r.end) {
-		return refuse(refusal.SearcherFailed, 0, "%d of %d parts, %d are needed and no target is left", p.parts, p.shards, p.needed)
+		return refuse(refusal.SearcherFailed, 0, "got %d of %d parts, %d are needed and no target is left to try", p.parts, p.shards, p.needed)
 	}
-	return refuse(refusal.Deadline, 0, "%d of %d parts in time, %d are needed", p.parts, p.shards, p.needed)
+	return refuse(refusal.Deadline, 0, "got %d of %d parts before the deadline, %d are needed", p.parts, p.shards, p.needed)
 }
--- a/query/load_test.go
+++ b/query/load_test.go
@@ -13,78 +13,78 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// sound is a target like those of the smaller deployment: 2 slots, 11 ms of
-// work, pauses of 120 ms in each 3 s.
-func sound(opts ...shards.Option) shards.Behaviour {
+// behaviour returns the behaviour of targets of the smaller deployment: 2 slots
+// and 11 ms of work. Pauses of 120 ms every 3 s are added by the tests.
+func behaviour(opts ...shards.Option) shards.Behaviour {
 	opts = append([]shards.Option{
 		shards.Slots(2), shards.Spread(0.35), shards.MaxConnections(26), shards.Handshake(6 * time.Millisecond),
 	}, opts...)
 	return shards.NewBehaviour(11*time.Millisecond, opts...)
 }
 
-// objective is that of the routes in these tests.
+// objective is the objective of the route in these tests.
 const objective = 100 * time.Millisecond
 
 // recordSize is the size of one record in bytes.
 const recordSize = 16
 
-// Guards against answers that miss their objective because one of many targets
-// pauses at any moment.
-func TestPausesDoNotDelayAnswers(t *testing.T) {
+// Guards against answers that miss their objective because at any time one of
+// many targets is paused.
+func TestGatherWithPausingTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 1, 20, sound(shards.Pauses(120*time.Millisecond, 3*time.Second)))
-		defer w.close()
-		replies := w.load(15, 20*time.Second)
-		inTime, coverage := served(replies, objective)
+		c := newTestCluster(t, 1, 20, behaviour(shards.Pauses(120*time.Millisecond, 3*time.Second)))
+		defer c.close()
+		replies := c.load(15, 20*time.Second)
+		inTime, coverage := successRate(replies, objective)
 		if inTime < 0.99 || coverage < 0.99 {
 			t.Errorf("%.4f in time with %.4f of the parts, want 0.99 of both", inTime, coverage)
 		}
-		if extra := w.extra(len(replies)); extra > 0.2 {
+		if extra := c.extraSends(len(replies)); extra > 0.2 {
 			t.Errorf("%.3f extra sends for each request, the bound is 0.2", extra)
 		}
 	})
 }
 
-// Guards against slow targets that set the pace of every answer, and against
-// targets that get no work after they have recovered.
-func TestSlowTargetsAreAvoidedAndUsedAgain(t *testing.T) {
+// Guards against slow targets that delay every answer, and against recovered
+// targets that get no requests.
+func TestGatherSlowTargetRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 2, 20, sound())
-		defer w.close()
-		w.load(15, 3*time.Second)
+		c := newTestCluster(t, 2, 20, behaviour())
+		defer c.close()
+		c.load(15, 3*time.Second)
 		for i := range 3 {
-			w.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(sound(shards.Slow(9)))
+			c.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(behaviour(shards.Slow(9)))
 		}
-		inTime, coverage := served(w.load(15, 8*time.Second), objective)
+		inTime, coverage := successRate(c.load(15, 8*time.Second), objective)
 		if inTime < 0.97 || coverage < 0.99 {
 			t.Errorf("while slow: %.4f in time with %.4f of the parts, want 0.97 and 0.99", inTime, coverage)
 		}
 		for i := range 3 {
-			w.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(sound())
+			c.targets[fmt.Sprintf("shard%d", i)][0].SetBehaviour(behaviour())
 		}
-		w.load(15, 3*time.Second)
-		before := len(w.targets["shard0"][0].Runs())
-		w.load(15, 6*time.Second)
-		if after := len(w.targets["shard0"][0].Runs()); after-before < 15 {
+		c.load(15, 3*time.Second)
+		before := len(c.targets["shard0"][0].Runs())
+		c.load(15, 6*time.Second)
+		if after := len(c.targets["shard0"][0].Runs()); after-before < 15 {
 			t.Errorf("recovered target got %d of 90 requests, want 15 or more", after-before)
 		}
 	})
 }
 
-// Guards against waiting for a shard without any target, and against a success
-// that hides how much is missing.
-func TestShardWithoutTargetsIsLeftOut(t *testing.T) {
+// Guards against waiting for a shard without an available target, and against
+// an answer that does not count it as missing.
+func TestGatherWithoutOneShard(t *testing.T) {
 	for name, b := range map[string]shards.Option{"down": shards.Down(), "dark": shards.Blackhole()} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, 3, 20, sound())
-				defer w.close()
-				w.load(15, 2*time.Second)
-				for _, tgt := range w.targets["shard7"] {
-					tgt.SetBehaviour(sound(b))
+				c := newTestCluster(t, 3, 20, behaviour())
+				defer c.close()
+				c.load(15, 2*time.Second)
+				for _, tgt := range c.targets["shard7"] {
+					tgt.SetBehaviour(behaviour(b))
 				}
-				replies := w.load(15, 4*time.Second)
-				inTime, _ := served(replies, objective)
+				replies := c.load(15, 4*time.Second)
+				inTime, _ := successRate(replies, objective)
 				if inTime < 0.99 {
 					t.Errorf("%.4f in time, want 0.99", inTime)
 				}
@@ -98,35 +98,36 @@
 	}
 }
 
-// Guards against requests that all wait for the same slow shards, whose targets
-// then answer none of them, although a few of these parts would do for each. Four
-// of 20 shards have only targets that take twelve times as long; 18 parts are
-// needed. A daemon sends slow targets one request at a time, so the four shards
-// serve it 60 parts a second: 40 of the 80 that could be asked of them suffice.
-func TestSlowShardsAreSharedOut(t *testing.T) {
+// Guards against overloading slow shards: if every request waits for all of
+// them, they answer none in time, although each request needs only some of
+// them. Four of 20 shards have only targets that take twelve times as long; 18
+// parts are needed. A daemon sends slow targets one request at a time, so the
+// four shards serve 60 parts per second. Of the 80 parts per second that could
+// be requested, 40 are enough.
+func TestGatherDefersSlowShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 12, 20, sound())
-		defer w.close()
-		w.load(20, 3*time.Second)
+		c := newTestCluster(t, 12, 20, behaviour())
+		defer c.close()
+		c.load(20, 3*time.Second)
 		for i := range 4 {
-			for _, tgt := range w.targets[fmt.Sprintf("shard%d", i)] {
-				tgt.SetBehaviour(sound(shards.Slow(12)))
+			for _, tgt := range c.targets[fmt.Sprintf("shard%d", i)] {
+				tgt.SetBehaviour(behaviour(shards.Slow(12)))
 			}
 		}
-		w.load(20, 2*time.Second)
-		replies := w.load(20, 8*time.Second)
-		answered, _ := served(replies, 1500*time.Millisecond)
+		c.load(20, 2*time.Second)
+		replies := c.load(20, 8*time.Second)
+		answered, _ := successRate(replies, 1500*time.Millisecond)
 		if answered < 0.95 {
 			t.Errorf("%.3f of the requests were answered, want 0.95", answered)
 		}
-		if median := medianTook(replies); median > 400*time.Millisecond {
-			t.Errorf("the median answer took %v, want 400ms at most", median)
+		if median := medianLatency(replies); median > 400*time.Millisecond {
+			t.Errorf("the median answer took %v, want at most 400ms", median)
 		}
 	})
 }
 
-// medianTook returns the median time until an answer or refusal.
-func medianTook(replies []reply) time.Duration {
+// medianLatency returns the median time to an answer or refusal.
+func medianLatency(replies []reply) time.Duration {
 	took := make([]time.Duration, len(replies))
 	for i, r := range replies {
 		took[i] = r.took
@@ -135,50 +136,51 @@
 	return took[len(took)/2]
 }
 
-// Guards against holding requests that cannot be answered, and against a
-// refusal that claims nothing ran although parts did.
-func TestTooManyShardsDown(t *testing.T) {
+// Guards against delaying the refusal of requests that cannot be answered, and
+// against a refusal that states that nothing ran although parts did.
+func TestGatherTooManyShardsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 4, 20, sound())
-		defer w.close()
+		c := newTestCluster(t, 4, 20, behaviour())
+		defer c.close()
 		for i := range 5 {
-			for _, tgt := range w.targets[fmt.Sprintf("shard%d", i)] {
-				tgt.SetBehaviour(sound(shards.Down()))
+			for _, tgt := range c.targets[fmt.Sprintf("shard%d", i)] {
+				tgt.SetBehaviour(behaviour(shards.Down()))
 			}
 		}
-		w.load(20, time.Second)
-		before := len(w.targets["shard9"][0].Runs()) + len(w.targets["shard9"][1].Runs())
+		c.load(20, time.Second)
+		before := len(c.targets["shard9"][0].Runs()) + len(c.targets["shard9"][1].Runs())
 		for i := range 10 {
-			r := w.ask(context.Background(), fmt.Sprintf("late%d", i))
+			r := c.request(context.Background(), fmt.Sprintf("late%d", i))
 			if f := r.answer.Refusal(); f == nil || f.Kind() != "no_searcher" || r.answer.RetryAfter() == 0 {
-				t.Errorf("refusal %v with retry after %v, want no_searcher with a time", f, r.answer.RetryAfter())
+				t.Errorf("refusal %v with retry after %v, want no_searcher with a retry time", f, r.answer.RetryAfter())
 			}
 			if r.took > 5*time.Millisecond {
 				t.Errorf("refused after %v, want at once", r.took)
 			}
 		}
-		after := len(w.targets["shard9"][0].Runs()) + len(w.targets["shard9"][1].Runs())
+		after := len(c.targets["shard9"][0].Runs()) + len(c.targets["shard9"][1].Runs())
 		if after != before {
-			t.Errorf("%d requests ran that were refused as not run", after-before)
+			t.Errorf("%d of the requests refused as not run did run", after-before)
 		}
 	})
 }
 
-// Guards against parts of another request, lost parts that are made up and
-// records out of order, while targets fail, lose and double their answers.
-func TestAnswersAreWholeAndTheirOwn(t *testing.T) {
+// Guards against merged answers with parts of another request, missing parts
+// that are not counted and records out of order. The targets fail, and drop and
+// duplicate answers.
+func TestGatherMergesOwnParts(t *testing.T) {
 	for seed := range int64(4) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, seed, 6, sound())
-			defer w.close()
+			c := newTestCluster(t, seed, 6, behaviour())
+			defer c.close()
 			for i := range 6 {
-				ts := w.targets[fmt.Sprintf("shard%d", i)]
-				ts[0].SetBehaviour(sound(shards.Failing(0.2), shards.DroppingReplies(0.1), shards.Duplicating(0.2)))
-				ts[1].SetBehaviour(sound(shards.Shedding(0.2), shards.Duplicating(0.2)))
+				ts := c.targets[fmt.Sprintf("shard%d", i)]
+				ts[0].SetBehaviour(behaviour(shards.Failing(0.2), shards.DroppingReplies(0.1), shards.Duplicating(0.2)))
+				ts[1].SetBehaviour(behaviour(shards.Shedding(0.2), shards.Duplicating(0.2)))
 			}
 			for i := range 200 {
 				id := fmt.Sprintf("q%d", i)
-				r := w.ask(context.Background(), id)
+				r := c.request(context.Background(), id)
 				m := r.answer.Merged()
 				if m == nil {
 					continue
@@ -190,7 +192,8 @@
 	}
 }
 
-// checkMerged compares an answer with the records of the parts that it names.
+// checkMerged compares an answer with the records of the parts whose signatures
+// it contains.
 func checkMerged(t *testing.T, id string, m *query.Merged, count int) {
 	t.Helper()
 	if len(m.Stamps())+m.Missing() != count {
@@ -218,37 +221,37 @@
 	slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
 	want := bytes.Join(all[:min(50, len(all))], nil)
 	if !bytes.Equal(want, m.Records()) {
-		t.Errorf("%s: records are not the greatest of the parts, falling", id)
+		t.Errorf("%s: records are not the greatest of the parts in descending order", id)
 	}
 }
 
-// Guards against extra sends beyond the budget while every target is slow, when
-// each of them makes all others slower.
-func TestBudgetBoundsExtraSends(t *testing.T) {
+// Guards against extra sends beyond the budget while every target fails or
+// refuses requests, when extra sends add to the overload.
+func TestGatherExtraSendBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 5, 4, sound())
-		defer w.close()
-		for _, ts := range w.targets {
+		c := newTestCluster(t, 5, 4, behaviour())
+		defer c.close()
+		for _, ts := range c.targets {
 			for _, tgt := range ts {
-				tgt.SetBehaviour(sound(shards.Failing(0.5), shards.Shedding(0.3)))
+				tgt.SetBehaviour(behaviour(shards.Failing(0.5), shards.Shedding(0.3)))
 			}
 		}
-		replies := w.load(40, 10*time.Second)
-		// The ratio for each request and the slack of one window of 10 s.
+		replies := c.load(40, 10*time.Second)
+		// The ratio per request plus the slack of one window of 10 s.
 		limit := 0.2 + 54/float64(len(replies))
-		if extra := w.extra(len(replies)); extra > limit {
+		if extra := c.extraSends(len(replies)); extra > limit {
 			t.Errorf("%.3f extra sends for each request, the bound is %.3f", extra, limit)
 		}
 	})
 }
 
-// Guards against more connections than this daemon's share.
-func TestConnectionsStayWithinTheShare(t *testing.T) {
+// Guards against more connections to a target than this daemon's share.
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 6, 4, sound(shards.Pauses(120*time.Millisecond, time.Second)))
-		defer w.close()
-		w.load(100, 5*time.Second)
-		for name, ts := range w.targets {
+		c := newTestCluster(t, 6, 4, behaviour(shards.Pauses(120*time.Millisecond, time.Second)))
+		defer c.close()
+		c.load(100, 5*time.Second)
+		for name, ts := range c.targets {
 			for _, tgt := range ts {
 				if n := tgt.PeakConnections(); n > 3 {
 					t.Errorf("a target of %s had %d connections, the share is 3", name, n)
@@ -258,104 +261,104 @@
 	})
 }
 
-// Guards against targets that work on for a caller that has left.
-func TestCallerLeaves(t *testing.T) {
+// Guards against targets that go on working on a request whose caller has left.
+func TestEngineCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 7, 4, sound())
-		defer w.close()
-		for _, ts := range w.targets {
+		c := newTestCluster(t, 7, 4, behaviour())
+		defer c.close()
+		for _, ts := range c.targets {
 			for _, tgt := range ts {
-				tgt.SetBehaviour(sound(shards.Silent()))
+				tgt.SetBehaviour(behaviour(shards.Silent()))
 			}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(30*time.Millisecond, cancel)
-		r := w.ask(ctx, "left")
+		r := c.request(ctx, "left")
 		if f := r.answer.Refusal(); f == nil || f.Kind() != "cancelled" || r.took > 31*time.Millisecond {
-			t.Errorf("refusal %v after %v, want cancelled when the caller left", f, r.took)
+			t.Errorf("refusal %v after %v, want cancelled within 1 ms of the caller's leaving", f, r.took)
 		}
 		time.Sleep(500 * time.Millisecond)
-		for name, g := range w.groups {
+		for name, g := range c.groups {
 			if n := g.InFlight(); n != 0 {
-				t.Errorf("%s still has %d requests half a second later", name, n)
+				t.Errorf("%s still has %d requests in flight half a second later", name, n)
 			}
 		}
 	})
 }
 
-// Guards against budget that is earned more than once by a request whose shard
-// has no target for a while.
-func TestRequestsEarnBudgetOnce(t *testing.T) {
+// Guards against a request that adds to the budget more than once because its
+// shard has no target at first and is tried again.
+func TestBudgetEarnedOncePerRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 8, 20, sound())
-		defer w.close()
-		g := w.groups["shard0"]
+		c := newTestCluster(t, 8, 20, behaviour())
+		defer c.close()
+		g := c.groups["shard0"]
 		g.Update(nil)
-		for _, tgt := range w.targets["shard1"] {
-			tgt.SetBehaviour(sound(shards.Silent())) // The answer waits until the objective.
+		for _, tgt := range c.targets["shard1"] {
+			tgt.SetBehaviour(behaviour(shards.Silent())) // Delays the answer until the objective.
 		}
 		before := g.Budget()
-		w.ask(context.Background(), "q")
+		c.request(context.Background(), "q")
 		if earned := g.Budget() - before; earned > 0.2 {
 			t.Errorf("one request earned %.2f extra sends, the ratio is 0.2", earned)
 		}
 	})
 }
 
-// Guards against a request that crashes every target that runs it, sent again
-// and again by its caller until no target is left.
-func TestPoisonRequestIsRefused(t *testing.T) {
+// Guards against a request that crashes every target that runs it and is
+// repeated by its caller until no target is left.
+func TestPoisonRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 9, 4, sound(shards.Crashing("poison")))
-		defer w.close()
+		c := newTestCluster(t, 9, 4, behaviour(shards.Crashing("poison")))
+		defer c.close()
 		crashes := func() int {
 			n := 0
-			for _, ts := range w.targets {
+			for _, ts := range c.targets {
 				for _, tgt := range ts {
 					n += tgt.Crashes()
 				}
 			}
 			return n
 		}
-		w.ask(context.Background(), "poison")
+		c.request(context.Background(), "poison")
 		first := crashes()
 		for range 20 {
-			time.Sleep(4 * time.Second) // The crashed targets are back.
-			w.ask(context.Background(), "poison")
+			time.Sleep(4 * time.Second) // The crashed targets restart.
+			c.request(context.Background(), "poison")
 		}
 		if again := crashes() - first; again > 1 {
 			t.Errorf("the repeated request crashed %d more targets, want 1", again)
 		}
-		r := w.ask(context.Background(), "poison")
+		r := c.request(context.Background(), "poison")
 		if f := r.answer.Refusal(); f == nil || f.Kind() != "poisoned" {
 			t.Errorf("refusal %v, want poisoned", f)
 		}
-		if r := w.ask(context.Background(), "other"); r.parts != 4 {
+		if r := c.request(context.Background(), "other"); r.parts != 4 {
 			t.Errorf("another request has %d parts, want 4", r.parts)
 		}
 	})
 }
 
-// Guards against requests that are refused because they were under way when
-// targets crashed for another reason.
-func TestBystandersOfACrashAreServed(t *testing.T) {
+// Guards against refusing requests that were in flight when targets crashed for
+// another reason.
+func TestCrashBystander(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 10, 4, sound())
-		defer w.close()
+		c := newTestCluster(t, 10, 4, behaviour())
+		defer c.close()
 		for range 5 {
 			time.AfterFunc(5*time.Millisecond, func() {
-				for _, ts := range w.targets {
-					ts[0].SetBehaviour(sound(shards.Down()))
+				for _, ts := range c.targets {
+					ts[0].SetBehaviour(behaviour(shards.Down()))
 				}
 			})
-			w.ask(context.Background(), "bystander")
+			c.request(context.Background(), "bystander")
 			time.Sleep(time.Second)
-			for _, ts := range w.targets {
-				ts[0].SetBehaviour(sound())
+			for _, ts := range c.targets {
+				ts[0].SetBehaviour(behaviour())
 			}
 			time.Sleep(2 * time.Second)
-			if r := w.ask(context.Background(), "bystander"); r.parts != 4 {
-				t.Errorf("%d parts after the targets are back, refusal %v; want 4", r.parts, r.answer.Refusal())
+			if r := c.request(context.Background(), "bystander"); r.parts != 4 {
+				t.Errorf("%d parts after the targets have recovered, refusal %v; want 4 parts", r.parts, r.answer.Refusal())
 			}
 		}
 	})
--- a/query/run.go
+++ b/query/run.go
@@ -8,48 +8,50 @@
 	"medlaryard.example/medlaryard/targets"
 )
 
-// run is one request while it is served.
+// run is the state of one request while it is served.
 type run struct {
 	*Engine
 	schedule
 
-	route   *route.Route
-	send    *targets.Request
-	habit   *habit
-	started time.Time
-	results chan *targets.Call
-	sends   int
-	suspect int      // Crashes that equal requests are held responsible for.
-	missing []string // Shards without a part, for the log.
-	story   []decision
+	route          *route.Route
+	request        *targets.Request
+	stats          *routeStats
+	started        time.Time
+	results        chan *targets.Call
+	sends          int
+	suspectCrashes int      // Crashes attributed to equal requests; above 0 the request is a suspect.
+	missing        []string // Shards without a part, for the log.
+	decisions      []decision
 }
 
-// part is the work on one shard, or on the one service of a route.
+// part is the state of a request at one shard, or at the single service of a
+// route.
 type part struct {
-	service string
-	group   *targets.Group
-	calls   []*targets.Call
-	open    int // Calls without a result.
-	mayRun  int // Calls that may have run or may still run.
-	refused int // Calls that a target refused without running them.
-	tried   time.Time
-	counted bool // The group has earned budget by the request.
+	service      string
+	group        *targets.Group
+	calls        []*targets.Call
+	pending      int // Calls without a result.
+	mayRun       int // Calls that may have run or may still run.
+	refused      int // Calls that a target refused without running them.
+	lastAttempt  time.Time
+	budgetEarned bool // The request has added to the group's budget of extra sends.
 
-	outlook  targets.Estimate // At the arrival of the request.
-	expected time.Duration    // When an answer was to be expected at the arrival of the request.
-	deferred bool             // It is sent only if other parts do not suffice.
+	estimate        targets.Estimate // At the arrival of the request.
+	expectedLatency time.Duration    // Of a slow shard, from estimate; otherwise 0.
+	deferred        bool             // It is sent only if the other parts are too few.
 
-	answer  *targets.Call // The success.
-	failure *targets.Call // The last complete answer that reports a failure.
+	answer  *targets.Call // The successful call.
+	failure *targets.Call // The last call with a complete answer that reports a failure.
 }
 
-// maxRefused bounds the sends of one part that targets refuse.
+// maxRefused bounds the calls of one part that targets refuse.
 const maxRefused = 2
 
-// attempt sends the part to another target. A hedge runs beside an earlier call.
+// attempt submits a call of the part and reports whether it was accepted. A
+// hedge runs in parallel with an earlier call.
 func (r *run) attempt(p *part, tag int, now time.Time, hedge bool) bool {
-	if r.clock.Boot() >= r.send.Deadline() {
-		r.end = now // The VM was paused; the caller has given up meanwhile.
+	if r.clock.Boot() >= r.request.Deadline() {
+		r.end = now // The VM was paused and the caller's deadline has passed.
 		return false
 	}
 	if p.mayRun >= r.maxTargets() || p.refused > maxRefused {
@@ -61,51 +63,51 @@
 		purpose = targets.Hedge
 	case p.mayRun+p.refused > 0:
 		purpose = targets.Retry
-	case p.counted:
+	case p.budgetEarned:
 		purpose = targets.Resend
 	}
-	p.counted = true
+	p.budgetEarned = true
 	avoid := p.calls
 	if n := len(p.calls); n > 0 && p.mayRun == 0 {
-		avoid = p.calls[n-1:] // A target that refused earlier may have room by now.
+		avoid = p.calls[n-1:] // A target that refused earlier may accept by now.
 		if p.calls[n-1].Outcome() == targets.NotSent {
 			avoid = nil
 		}
 	}
-	c := targets.NewCall(r.send, r.habit.pace, r.results,
+	c := targets.NewCall(r.request, r.stats.latency, r.results,
 		targets.Tag(tag), targets.Priority(r.route.Priority()), targets.AvoidTargetsOf(avoid...), targets.WithPurpose(purpose),
 		targets.Allow(func(e targets.Entry) bool { return r.allow(r.route, e) }))
-	p.tried = now
+	p.lastAttempt = now
 	if len(p.calls) >= maxSends || !p.group.Submit(c) {
 		return false
 	}
 	p.calls = append(p.calls, c)
-	p.open++
+	p.pending++
 	p.mayRun++
 	r.sends++
 	switch purpose {
 	case targets.Retry:
-		r.note("retried", p.service, "", "the call before failed")
+		r.recordDecision("retried", p.service, "", "the previous call failed")
 	case targets.Hedge:
-		r.note("hedged", p.service, "", "no answer for "+r.patienceWith(p).Round(time.Millisecond).String())
+		r.recordDecision("hedged", p.service, "", "no answer for "+r.hedgeDelay(p).Round(time.Millisecond).String())
 	case targets.First, targets.Resend:
 	}
 	return true
 }
 
-// maxTargets is on how many targets of a service the request may run. A suspect
-// runs on one.
+// maxTargets returns on how many targets of a service the request may run. A
+// suspect may run on one.
 func (r *run) maxTargets() int {
-	if r.suspect > 0 {
+	if r.suspectCrashes > 0 {
 		return 1
 	}
 	return r.route.MaxTargets()
 }
 
-// hedgePart sends the part to a second target beside a call that was sent and has
-// not been answered for long.
+// hedgePart sends the part to a second target if its only pending call was sent
+// and has been unanswered for the hedge delay.
 func (r *run) hedgePart(p *part, tag int, now time.Time) {
-	if p.open != 1 || now.Before(p.tried.Add(r.patienceWith(p))) {
+	if p.pending != 1 || now.Before(p.lastAttempt.Add(r.hedgeDelay(p))) {
 		return
 	}
 	if _, _, sent := p.group.Assignment(p.calls[len(p.calls)-1]); sent && r.attempt(p, tag, now, true) {
@@ -113,23 +115,23 @@
 	}
 }
 
-// patienceWith returns how long a part may take before a second target is asked.
-// Where all targets were known to be slow another one is no faster.
-func (r *run) patienceWith(p *part) time.Duration {
-	return max(r.hedgeAfter, time.Duration(strainedPatience*float64(p.expected)))
+// hedgeDelay returns the time after which a pending part is sent to a second
+// target. It is longer for a slow shard, whose other targets are no faster.
+func (r *run) hedgeDelay(p *part) time.Duration {
+	return max(r.hedgeAfter, time.Duration(slowPartHedgeFactor*float64(p.expectedLatency)))
 }
 
 // nextHedge returns when a hedge may be due.
 func (r *run) nextHedge(p *part, now time.Time) time.Time {
-	if t := p.tried.Add(r.patienceWith(p)); t.After(now) {
+	if t := p.lastAttempt.Add(r.hedgeDelay(p)); t.After(now) {
 		return t
 	}
-	return now.Add(recheck) // The budget was spent, or the call waits.
+	return now.Add(recheckInterval) // The budget is spent, or the call is still queued.
 }
 
-// take accounts for the result of a call.
-func (p *part) take(c *targets.Call) {
-	p.open--
+// recordResult updates the part with the result of a call.
+func (p *part) recordResult(c *targets.Call) {
+	p.pending--
 	switch o := c.Outcome(); {
 	case o == targets.Answered:
 		if p.answer == nil {
@@ -145,7 +147,7 @@
 	}
 }
 
-// abandon releases all calls of a part but the one kept.
+// abandon releases all calls of a part except kept.
 func (p *part) abandon(kept *targets.Call, callerLeft bool) {
 	for _, c := range p.calls {
 		if c != kept {
--- a/query/schedule.go
+++ b/query/schedule.go
@@ -7,77 +7,80 @@
 )
 
 const (
-	// hedgeFactor is after how many usual latencies a request goes to a second
-	// target. About 5% of the answers of a target that is neither slow nor
-	// paused take longer.
+	// hedgeFactor is the hedge delay as a multiple of the median latency. About
+	// 5% of the answers of a target that is neither slow nor paused take
+	// longer.
 	hedgeFactor = 1.8
-	// hedgeFloor is the least difference that is not due to the network.
-	hedgeFloor = time.Millisecond
-	// wayMargin covers the way of an answer to the caller, and the caller's
-	// question for addresses and new connection, at the longest distance of 3 ms
-	// one way.
-	wayMargin = 10 * time.Millisecond
-	// workMargin is the part of the objective kept for merging and writing.
-	workMargin = 0.05
-	// endMargin is how long before the caller leaves its final answer is given.
+	// hedgeMargin is added to the hedge delay to allow for network jitter.
+	hedgeMargin = time.Millisecond
+	// networkMargin covers the transmission of the answer to the caller, and
+	// the caller's address lookup and connection setup, at the longest one-way
+	// delay of 3 ms.
+	networkMargin = 10 * time.Millisecond
+	// mergeMargin is the fraction of the objective reserved for merging and
+	// writing the answer.
+	mergeMargin = 0.05
+	// endMargin is how long before the end of the caller's timeout the final
+	// answer is returned.
 	endMargin = 20 * time.Millisecond
 )
 
-// schedule holds the times that govern one request.
+// schedule holds the times at which decisions about one request are made.
 type schedule struct {
-	usual      time.Duration // The latency of one target.
-	hedgeAfter time.Duration // From sending to the second target.
-	objective  time.Time     // When an answer should leave to be in time.
-	late       time.Time     // When an answer that missed the objective leaves without its missing parts.
-	end        time.Time     // When the final answer leaves.
+	medianLatency time.Duration // The median latency of the route at a single target.
+	hedgeAfter    time.Duration // Time from sending a call to its hedge.
+	objective     time.Time     // When an answer must be sent to meet the objective.
+	lateLimit     time.Time     // After a missed objective: when an answer is sent although parts are pending.
+	end           time.Time     // When the final answer is sent.
 }
 
-// newSchedule plans a request that arrived at started. The caller waits for
-// patience from then and began its first attempt elapsed earlier. Median is the
-// usual latency of one target.
-func newSchedule(r *route.Route, started time.Time, patience, elapsed, median time.Duration) schedule {
-	end := patience
+// newSchedule returns the schedule of a request that arrived at started. The
+// caller waits for callerTimeout from then; its first attempt began elapsed
+// earlier. Median is the median latency of a single target.
+func newSchedule(r *route.Route, started time.Time, callerTimeout, elapsed, median time.Duration) schedule {
+	end := callerTimeout
 	if t := r.Timeout(); t > 0 && t < end {
 		end = t
 	}
-	margin := wayMargin + time.Duration(workMargin*float64(r.Objective()))
+	margin := networkMargin + time.Duration(mergeMargin*float64(r.Objective()))
 	objective := r.Objective() - margin - elapsed
 	return schedule{
-		usual:      median,
-		hedgeAfter: time.Duration(hedgeFactor*float64(median)) + hedgeFloor,
-		objective:  started.Add(objective),
-		late:       started.Add(max(objective, 0) + r.Objective()),
-		end:        started.Add(max(end-endMargin, end/2)),
+		medianLatency: median,
+		hedgeAfter:    time.Duration(hedgeFactor*float64(median)) + hedgeMargin,
+		objective:     started.Add(objective),
+		lateLimit:     started.Add(max(objective, 0) + r.Objective()),
+		end:           started.Add(max(end-endMargin, end/2)),
 	}
 }
 
-// progress is how far a sharded request has come.
+// progress counts the parts of a sharded request.
 type progress struct {
-	parts   int // Parts that are in.
-	pending int // Parts that may still come.
+	parts   int // Parts received.
+	pending int // Parts with a pending call.
 	shards  int
-	needed  int // Parts that a success needs.
+	needed  int // Parts needed for a successful answer.
 }
 
-// verdict is what to do with a request now.
-type verdict int
+// action is the result of a decision about a request.
+type action int
 
 const (
-	wait verdict = iota
+	wait action = iota
 	answer
 	fail
 )
 
-// judge decides whether to answer with the parts that are in. Waiting for a
-// part is worth more than the part only until the objective.
-func (s schedule) judge(now time.Time, p progress) verdict {
+// decide returns whether to answer with the parts received, to wait for more or
+// to fail. Once enough parts are received, it waits for the others only until
+// the objective or, if the objective is missed, until lateLimit.
+func (s schedule) decide(now time.Time, p progress) action {
 	enough := p.parts >= p.needed
 	switch {
 	case p.parts == p.shards:
 		return answer
 	case enough && p.pending == 0:
 		return answer
-	case enough && !now.Before(s.objective) && (now.Before(s.objective.Add(lateSlack)) || !now.Before(s.late)):
+	case enough && !now.Before(s.objective) && (now.Before(s.objective.Add(timerSlack)) || !now.Before(s.lateLimit)):
 		return answer
 	case !now.Before(s.end):
 		if enough {
@@ -90,13 +93,14 @@
 	return wait
 }
 
-// lateSlack is how long after the objective an answer with missing parts is
-// still given as one that met it; timers fire late.
-const lateSlack = 10 * time.Millisecond
+// timerSlack is how long after the objective an answer with missing parts still
+// counts as in time, because timers fire late.
+const timerSlack = 10 * time.Millisecond
 
-// next returns when judge may change its mind without another event.
-func (s schedule) next(now time.Time) time.Time {
-	for _, t := range []time.Time{s.objective, s.late, s.end} {
+// nextDecision returns the next time at which the result of decide may change
+// without another event.
+func (s schedule) nextDecision(now time.Time) time.Time {
+	for _, t := range []time.Time{s.objective, s.lateLimit, s.end} {
 		if now.Before(t) {
 			return t
 		}
--- a/query/single.go
+++ b/query/single.go
@@ -9,14 +9,14 @@
 	"medlaryard.example/medlaryard/targets"
 )
 
-// single sends the request to one target of the service and returns its answer
-// unchanged.
+// single sends the request to a target of the service, with retries and hedges,
+// and returns the answer of one target unchanged.
 func (r *run) single(ctx context.Context, service string) Answer {
 	p := &part{service: service, group: r.group(service)}
 	r.results = make(chan *targets.Call, maxSends)
 	now := r.clock.Now()
-	if p.group == nil || !p.group.Estimate(r.habit.pace, r.end.Sub(now)).SendsInTime() || !r.attempt(p, 0, now, false) {
-		return refuse(refusal.NoSearcher, r.comeBack(now), "no target of %s accepts the request", service)
+	if p.group == nil || !p.group.Estimate(r.stats.latency, r.end.Sub(now)).SendsInTime() || !r.attempt(p, 0, now, false) {
+		return refuse(refusal.NoSearcher, r.retryAfter(now), "no target of %s accepts the request", service)
 	}
 	var kept *targets.Call
 	callerLeft := false
@@ -26,28 +26,28 @@
 	for {
 		select {
 		case c := <-r.results:
-			p.take(c)
-			r.noteResult(p, c)
+			p.recordResult(c)
+			r.recordFailure(p, c)
 			if p.answer != nil {
-				if r.suspect > 0 {
-					r.crash.Clear(r.send.Fingerprint())
+				if r.suspectCrashes > 0 {
+					r.suspects.Clear(r.request.Fingerprint())
 				}
 				kept = p.answer
 				return r.relay(p, kept)
 			}
-			if p.open > 0 || r.again(p) {
+			if p.pending > 0 || r.retry(p) {
 				continue
 			}
 			if p.failure != nil {
 				kept = p.failure
 				return r.relay(p, kept)
 			}
-			return r.lost(p)
+			return r.failedAnswer(p)
 		case <-timer.C():
 			now = r.clock.Now()
 			if !now.Before(r.end) {
-				r.noteSilent([]*part{p})
-				return r.overdue(p)
+				r.recordUnanswered([]*part{p})
+				return r.timeoutAnswer(p)
 			}
 			if r.route.Idempotent() {
 				r.hedgePart(p, 0, now)
@@ -60,9 +60,9 @@
 	}
 }
 
-// again tries another target after a failure. A request that must not run twice
-// is sent again only if no target can have run it.
-func (r *run) again(p *part) bool {
+// retry sends the request to another target after a failure. A non-idempotent
+// request is sent again only if no target can have run it.
+func (r *run) retry(p *part) bool {
 	if !r.route.Idempotent() && p.mayRun > 0 {
 		return false
 	}
@@ -73,7 +73,7 @@
 	return true
 }
 
-// nextSingle returns when to look at the request again.
+// nextSingle returns when to check the request again.
 func (r *run) nextSingle(p *part, now time.Time) time.Time {
 	if !r.route.Idempotent() || p.mayRun >= r.maxTargets() {
 		return r.end
@@ -89,18 +89,19 @@
 	return Answer{response: c.Response(), release: func() { p.group.Abandon(c, false) }}
 }
 
-// lost explains the end of all attempts without an answer.
-func (r *run) lost(p *part) Answer {
+// failedAnswer returns a refusal for a request whose attempts all ended without
+// an answer.
+func (r *run) failedAnswer(p *part) Answer {
 	last := p.calls[len(p.calls)-1]
 	if p.mayRun == 0 {
-		return refuse(refusal.Overloaded, r.comeBack(r.clock.Now()), "targets of %s refused the request: %s", p.service, last.Outcome())
+		return refuse(refusal.Overloaded, r.retryAfter(r.clock.Now()), "targets of %s refused the request: %s", p.service, last.Outcome())
 	}
 	return refuse(refusal.SearcherFailed, 0, "connection to %s ended: %s", last.TargetID(), last.Reason())
 }
 
-// overdue answers a request whose time is over. It is known not to have run if
-// every call was refused or never sent.
-func (r *run) overdue(p *part) Answer {
+// timeoutAnswer returns a refusal for a request whose time is over. The request
+// certainly did not run if every call was refused or never sent.
+func (r *run) timeoutAnswer(p *part) Answer {
 	unsent := 0
 	for _, c := range p.calls {
 		if p.group.Dequeue(c) {
@@ -108,7 +109,7 @@
 		}
 	}
 	if p.mayRun == unsent {
-		return refuse(refusal.Overloaded, 0, "no target of %s had room in time", p.service)
+		return refuse(refusal.Overloaded, 0, "no target of %s had capacity in time", p.service)
 	}
 	return refuse(refusal.Deadline, 0, "no target of %s answered in time", p.service)
 }
--- a/query/throttle.go
+++ b/query/throttle.go
@@ -7,40 +7,42 @@
 )
 
 const (
-	// linesPerSecond and lineBurst bound the log lines about requests; a request
-	// that failed takes up to 50.
+	// linesPerSecond and lineBurst bound the log lines about requests; a failed
+	// request produces up to 50 lines.
 	linesPerSecond = 100
 	lineBurst      = 400
-	// sampleEvery is the share of plain successes that are logged.
+	// sampleEvery is the number of successes without anomalies of which one is
+	// logged.
 	sampleEvery = 200
 )
 
-// throttle bounds the log lines about requests. The caller holds the engine's
-// story lock.
-type throttle struct {
+// logThrottle limits the rate of log lines about requests. The caller holds
+// Engine.logMu.
+type logThrottle struct {
 	limiter *rate.Limiter
-	leftOut int
+	dropped int
 	answers int
 }
 
-func newThrottle() *throttle {
-	return &throttle{limiter: rate.NewLimiter(linesPerSecond, lineBurst)}
+func newThrottle() *logThrottle {
+	return &logThrottle{limiter: rate.NewLimiter(linesPerSecond, lineBurst)}
 }
 
-// allow reports whether n lines may be written, and how many were left out
-// since the last time.
-func (t *throttle) allow(now time.Time, n int) (bool, int) {
+// allow reports whether n lines may be written and how many lines were dropped
+// since the last permitted call.
+func (t *logThrottle) allow(now time.Time, n int) (bool, int) {
 	if !t.limiter.AllowN(now, n) {
-		t.leftOut += n
+		t.dropped += n
 		return false, 0
 	}
-	left := t.leftOut
-	t.leftOut = 0
-	return true, left
+	dropped := t.dropped
+	t.dropped = 0
+	return true, dropped
 }
 
-// sampled reports whether a plain success is logged.
-func (t *throttle) sampled() bool {
+// shouldSample counts a success without anomalies and reports whether to log
+// it.
+func (t *logThrottle) shouldSample() bool {
 	t.answers++
 	return t.answers%sampleEvery == 1
 }
