--- a/query/decisions.go
+++ b/query/decisions.go
@@ -22,9 +22,9 @@
 
 // recordDecision stores a decision, to be logged if the outcome of the request
 // is logged.
-func (r *run) recordDecision(what, shard, target, cause string) {
+func (r *run) recordDecision(name, shard, target, cause string) {
 	if len(r.decisions) < maxDecisions {
-		r.decisions = append(r.decisions, decision{r.clock.Now().Sub(r.started), what, shard, target, cause})
+		r.decisions = append(r.decisions, decision{r.clock.Now().Sub(r.started), name, shard, target, cause})
 	}
 }
 
--- a/query/defer.go
+++ b/query/defer.go
@@ -21,8 +21,8 @@
 	}
 	slow := 0
 	for _, p := range parts {
-		if o := p.estimate; o.Available() && o.Latency() > limit {
-			p.expectedLatency, p.deferred = o.Latency(), !o.HasIdleTarget()
+		if e := p.estimate; e.Available() && e.Latency() > limit {
+			p.expectedLatency, p.deferred = e.Latency(), !e.HasIdleTarget()
 			slow++
 		}
 	}
--- a/query/engine.go
+++ b/query/engine.go
@@ -71,7 +71,7 @@
 		groups: make(map[string]*targets.Group),
 		stats:  make(map[string]*routeStats),
 
-		throttle: newThrottle(),
+		throttle: newLogThrottle(),
 	}
 	for _, o := range opts {
 		o(e)
@@ -154,11 +154,11 @@
 // callerTimeout. If ctx ends because the caller has left, it returns a refusal
 // at once.
 func (e *Engine) Do(ctx context.Context, t *route.Table, r *route.Route, request *targets.Request, started time.Time, callerTimeout time.Duration) Answer {
-	h := e.routeStats(r)
-	elapsed := time.Duration(h.timeouts.estimateElapsed(callerTimeout.Milliseconds())) * time.Millisecond
+	stats := e.routeStats(r)
+	elapsed := time.Duration(stats.timeouts.estimateElapsed(callerTimeout.Milliseconds())) * time.Millisecond
 	req := &run{
-		Engine: e, route: r, request: request, stats: h, started: started,
-		schedule: newSchedule(r, started, callerTimeout, elapsed, h.latency.Median()),
+		Engine: e, route: r, request: request, stats: stats, started: started,
+		schedule: newSchedule(r, started, callerTimeout, elapsed, stats.latency.Median()),
 	}
 	var a Answer
 	req.suspectCrashes = e.suspects.Crashes(request.Fingerprint())
--- a/query/throttle.go
+++ b/query/throttle.go
@@ -21,10 +21,10 @@
 type logThrottle struct {
 	limiter *rate.Limiter
 	dropped int
-	answers int
+	successes int
 }
 
-func newThrottle() *logThrottle {
+func newLogThrottle() *logThrottle {
 	return &logThrottle{limiter: rate.NewLimiter(linesPerSecond, lineBurst)}
 }
 
@@ -43,6 +43,6 @@
 // shouldSample counts a success without anomalies and reports whether to log
 // it.
 func (t *logThrottle) shouldSample() bool {
-	t.answers++
-	return t.answers%sampleEvery == 1
+	t.successes++
+	return t.successes%sampleEvery == 1
 }
--- a/targets/budget.go
+++ b/targets/budget.go
@@ -7,8 +7,8 @@
 	// may fall into the window after that of the requests that earned them.
 	ratioMargin = 0.8
 	// slackMargin keeps the sum of all buckets below the slack. Daemons that
-	// start, stop or take over have buckets too, so there may be half as many
-	// buckets again as serving daemons.
+	// start, stop or take over have buckets too, so there may be 50% more
+	// buckets than serving daemons.
 	slackMargin = 0.55
 	// hedgeReserve is the fraction of the bucket that hedges must not use.
 	hedgeReserve = 0.25
--- a/targets/latency.go
+++ b/targets/latency.go
@@ -31,23 +31,23 @@
 }
 
 // Median returns the estimated median latency.
-func (p *LatencyEstimator) Median() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.median
+func (e *LatencyEstimator) Median() time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.median
 }
 
 // Observe updates the estimate with the latency of one answer.
-func (p *LatencyEstimator) Observe(d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (e *LatencyEstimator) Observe(d time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	d = max(d, 100*time.Microsecond)
 	switch {
-	case !p.observed:
-		p.median, p.observed = min(d, 4*p.median), true
-	case d > p.median:
-		p.median = time.Duration(float64(p.median) * math.Exp(latencyStep))
-	case d < p.median:
-		p.median = time.Duration(float64(p.median) * math.Exp(-latencyStep))
+	case !e.observed:
+		e.median, e.observed = min(d, 4*e.median), true
+	case d > e.median:
+		e.median = time.Duration(float64(e.median) * math.Exp(latencyStep))
+	case d < e.median:
+		e.median = time.Duration(float64(e.median) * math.Exp(-latencyStep))
 	}
 }
--- a/targets/move.go
+++ b/targets/move.go
@@ -17,11 +17,11 @@
 
 // assignToNew decides whether a call goes to the new version. Resends, retries
 // and hedges do not, so that the share stays exact.
-func (m *versionMove) assignToNew(p Purpose) bool {
+func (m *versionMove) assignToNew(purpose Purpose) bool {
 	if m.share >= 1 {
 		return true
 	}
-	if p != First {
+	if purpose != First {
 		return false
 	}
 	m.credit += m.share
@@ -33,8 +33,8 @@
 }
 
 // permits reports whether a target of the given version may get a call.
-func (m *versionMove) permits(version string, newer bool) bool {
-	return newer == (version == m.version)
+func (m *versionMove) permits(version string, toNewVersion bool) bool {
+	return toNewVersion == (version == m.version)
 }
 
 func (m *versionMove) record(version string, bad bool) {
