--- a/query/throttle.go
+++ b/query/throttle.go
@@ -19,8 +19,8 @@
 // logThrottle limits the rate of log lines about requests. The caller holds
 // Engine.logMu.
 type logThrottle struct {
-	limiter *rate.Limiter
-	dropped int
+	limiter   *rate.Limiter
+	dropped   int
 	successes int
 }
 
