--- a/daemon/addressbook.go
+++ b/daemon/addressbook.go
@@ -5,21 +5,21 @@
 	"medlaryard.example/medlaryard/entry"
 )
 
-// callerAddress is an entry with the name of its daemon.
+// callerAddress is the caller address of a daemon, with the daemon's name.
 type callerAddress struct {
 	entry.Address
 	member string
 }
 
-// addressBook lists the entries that callers may be sent to.
+// addressBook lists the addresses that daemons return to callers.
 type addressBook struct {
 	serving []callerAddress
-	// withdrawn are in failure domains that operators have taken out of service.
-	// They are given out only when no other entry is left.
+	// withdrawn lists entries in failure domains that operators took out of service.
+	// They are returned only if no other entry is reachable.
 	withdrawn []callerAddress
 }
 
-// add takes in an entry. A domain that the catalogue does not list is in service.
+// add adds an entry. A domain that is not in the catalogue counts as in service.
 func (b *addressBook) add(estate catalogue.Estate, a callerAddress) {
 	if domain, ok := estate.Domain(a.Domain()); ok && !domain.InService() {
 		b.withdrawn = append(b.withdrawn, a)
@@ -28,21 +28,22 @@
 	b.serving = append(b.serving, a)
 }
 
-// entries is the number of entries that callers are sent to, which share the
-// limits of the catalogue.
-func (b *addressBook) entries() int {
+// entryCount returns the number of entries that receive calls. The limits of the
+// catalogue are divided among them.
+func (b *addressBook) entryCount() int {
 	if len(b.serving) == 0 {
 		return len(b.withdrawn)
 	}
 	return len(b.serving)
 }
 
-// reachable returns the entries to give out, among those for which up holds.
-func (b *addressBook) reachable(up func(member string) bool) []entry.Address {
+// reachable returns the entries in service for which isReachable returns true, or
+// the withdrawn ones if there are none.
+func (b *addressBook) reachable(isReachable func(member string) bool) []entry.Address {
 	var list []entry.Address
-	for _, book := range [][]callerAddress{b.serving, b.withdrawn} {
-		for _, a := range book {
-			if up(a.member) {
+	for _, candidates := range [][]callerAddress{b.serving, b.withdrawn} {
+		for _, a := range candidates {
+			if isReachable(a.member) {
 				list = append(list, a.Address)
 			}
 		}
--- a/daemon/addressbook_test.go
+++ b/daemon/addressbook_test.go
@@ -16,8 +16,8 @@
 	return strings.Replace(text, line, line+", in_service: false", 1)
 }
 
-// Guards against callers that are sent into a failure domain out of service, and
-// against an empty answer when only such daemons are left.
+// Guards against returning callers addresses in a failure domain that is out of
+// service, and against an empty response when only such daemons are left.
 func TestAddressesAvoidWithdrawnDomain(t *testing.T) {
 	var servers []string
 	for i := range 11 {
@@ -34,11 +34,11 @@
 		want    string
 		entries int
 	}{
-		{"one domain is out", "a1:domain-a a2:domain-a b1:domain-b", "", "a1 a2", 2},
-		{"domain is not in the catalogue", "b1:domain-b c1:domain-c", "", "c1", 1},
-		{"only withdrawn ones are left", "b1:domain-b b2:domain-b", "", "b1 b2", 2},
-		{"no other one answers", "a1:domain-a b1:domain-b b2:domain-b", "a1 b2", "b1", 1},
-		{"nobody answers", "a1:domain-a b1:domain-b", "a1 b1", "", 1},
+		{"one domain out of service", "a1:domain-a a2:domain-a b1:domain-b", "", "a1 a2", 2},
+		{"domain missing from the catalogue", "b1:domain-b c1:domain-c", "", "c1", 1},
+		{"only withdrawn daemons", "b1:domain-b b2:domain-b", "", "b1 b2", 2},
+		{"only a withdrawn daemon responds", "a1:domain-a b1:domain-b b2:domain-b", "a1 b2", "b1", 1},
+		{"no daemon responds", "a1:domain-a b1:domain-b", "a1 b1", "", 1},
 	} {
 		var book addressBook
 		for m := range strings.FieldsSeq(test.members) {
@@ -49,27 +49,27 @@
 		for _, a := range book.reachable(func(m string) bool { return !strings.Contains(test.down, m) }) {
 			got = append(got, a.Address())
 		}
-		if strings.Join(got, " ") != test.want || book.entries() != test.entries {
-			t.Errorf("%s: %q of %d entries, want %q of %d", test.name, got, book.entries(), test.want, test.entries)
+		if strings.Join(got, " ") != test.want || book.entryCount() != test.entries {
+			t.Errorf("%s: got addresses %q of %d entries, want %q of %d", test.name, got, book.entryCount(), test.want, test.entries)
 		}
 	}
 }
 
-// Guards against a daemon that gives out itself while its domain is out of
-// service, and against one that stays away after the domain returns.
-func TestWithdrawnDaemonLeavesAddresses(t *testing.T) {
-	y := newFixture(t, 2)
-	y.startIn(2, "domain-b")
-	y.ready()
+// Guards against a daemon that returns its own address while its domain is out of
+// service, and against a missing address after the domain is in service again.
+func TestWithdrawnDaemonRemovedFromAddresses(t *testing.T) {
+	f := newFixture(t, 2)
+	f.startIn(2, "domain-b")
+	f.waitReady()
 	listed := func(n int) func() bool {
 		return func() bool {
-			for _, m := range y.members {
+			for _, m := range f.members {
 				r, err := call(http.MethodGet, "http://"+m.callers+"/v1/addresses", nil)
 				if err != nil || len(r.Addresses) != n {
 					return false
 				}
 				for _, a := range r.Addresses {
-					if n < 3 && a.Address == y.members[2].callers {
+					if n < 3 && a.Address == f.members[2].callers {
 						return false
 					}
 				}
@@ -77,11 +77,11 @@
 			return true
 		}
 	}
-	y.apply(1, withdraw(y.text, "domain-b"))
-	y.until("address answer without the domain", listed(2))
-	if r, err := query(y.members[2].callers, "la"); err != nil || r.Coverage.Fraction != 1 {
-		t.Errorf("daemon of the domain answers %+v, %v", r, err)
+	f.apply(1, withdraw(f.catalogue, "domain-b"))
+	f.waitFor("address response without the domain", listed(2))
+	if r, err := query(f.members[2].callers, "la"); err != nil || r.Coverage.Fraction != 1 {
+		t.Errorf("query to the daemon of the withdrawn domain: %+v, %v", r, err)
 	}
-	y.apply(2, y.text)
-	y.until("address answer with the domain", listed(3))
+	f.apply(2, f.catalogue)
+	f.waitFor("address response with the domain", listed(3))
 }
--- a/daemon/sharelog.go
+++ b/daemon/appliedshares.go
@@ -8,15 +8,15 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// shareLog knows since when this daemon has its share of each group.
-type shareLog struct {
+// appliedShares records this daemon's share of each group and since when it has it.
+type appliedShares struct {
 	mu     sync.Mutex
 	shares map[string]lease.Share
 	since  map[string]time.Time
 }
 
-// set installs the shares at now and reports whether any changed.
-func (l *shareLog) set(shares map[string]lease.Share, now time.Time) bool {
+// set replaces the shares at now and reports whether any changed.
+func (l *appliedShares) set(shares map[string]lease.Share, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.since == nil {
@@ -39,8 +39,9 @@
 	return true
 }
 
-// get returns the share of a group and since when; the zero time without one.
-func (l *shareLog) get(id string) (lease.Share, time.Time) {
+// get returns the share of group id and since when the daemon has it. The time is
+// zero if the daemon has no share.
+func (l *appliedShares) get(id string) (lease.Share, time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.shares[id], l.since[id]
--- a/daemon/condition.go
+++ b/daemon/condition.go
@@ -10,26 +10,26 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// startTime is the time after the start in which a daemon that has not reached
-// anything yet is starting, not isolated.
-const startTime = 3 * time.Second
+// startupGrace is the time after the start during which a daemon that has not
+// reached the store or a peer does not count as isolated.
+const startupGrace = 3 * time.Second
 
-// condition logs and counts the begin and the end of an exceptional state. The
-// counters are daemon.<name>.began and daemon.<name>.ended.
+// condition logs and counts the start and the end of an exceptional state, in the
+// counters daemon.<name>.began and daemon.<name>.ended.
 type condition struct {
 	name         string
 	began, ended string // Log messages.
 	since        time.Duration
-	holds        bool
+	active       bool
 }
 
-// observe takes in whether the condition holds at now, a reading of
+// observe records whether the condition is active at now, a reading of
 // clock.Clock.Boot.
-func (c *condition) observe(l zerolog.Logger, now time.Duration, holds bool) {
+func (c *condition) observe(l zerolog.Logger, now time.Duration, active bool) {
 	switch {
-	case holds == c.holds:
+	case active == c.active:
 		return
-	case holds:
+	case active:
 		c.since = now
 		meter.Count("daemon."+c.name+".began", 1)
 		l.Warn().Msg(c.began)
@@ -37,11 +37,11 @@
 		meter.Count("daemon."+c.name+".ended", 1)
 		l.Info().Dur("took", now-c.since).Msg(c.ended)
 	}
-	c.holds = holds
+	c.active = active
 }
 
-// conditions are the exceptional states of a daemon in its cell. Only one
-// goroutine observes them.
+// conditions tracks the exceptional states of a daemon in its cell. It is not safe
+// for concurrent use.
 type conditions struct {
 	log        func() zerolog.Logger
 	started    time.Duration // Reading of clock.Clock.Boot.
@@ -55,13 +55,13 @@
 		started: started,
 		standstill: condition{
 			name:  "standstill",
-			began: "standstill began: no keeper grants leases, homes go on by the majority of the members",
+			began: "standstill began: no keeper grants leases; homes continue on leases from a majority of the members",
 			ended: "standstill ended: a keeper grants leases",
 		},
 		isolation: condition{
 			name:  "isolation",
-			began: "isolation began: neither the store nor any peer answers",
-			ended: "isolation ended: the store or a peer answers",
+			began: "isolation began: neither the store nor any peer responds",
+			ended: "isolation ended: the store or a peer responds",
 		},
 	}
 }
@@ -69,5 +69,5 @@
 func (c *conditions) observe(now time.Duration, s cell.Status) {
 	l := c.log().With().Str("cell", s.Cell).Uint64("epoch", s.Epoch).Uint64("generation", s.InForce).Logger()
 	c.standstill.observe(l, now, s.Standstill)
-	c.isolation.observe(l, now, s.Isolated && (c.isolation.holds || now-c.started >= startTime))
+	c.isolation.observe(l, now, s.Isolated && (c.isolation.active || now-c.started >= startupGrace))
 }
--- a/daemon/condition_test.go
+++ b/daemon/condition_test.go
@@ -13,10 +13,10 @@
 	"medlaryard.example/medlaryard/standin/objects"
 )
 
-// Guards against a standstill or an isolation that nobody notices, against a line
-// for each look at it, and against a report of isolation from a daemon that has
-// just started.
-func TestConditionsAreLoggedOnce(t *testing.T) {
+// Guards against a standstill or an isolation without a log line and a counter,
+// against a line for every observation, and against reporting isolation of a daemon
+// that has just started.
+func TestConditionLogging(t *testing.T) {
 	var out bytes.Buffer
 	c := newConditions(time.Minute)
 	c.log = func() zerolog.Logger { return zerolog.New(&out) }
@@ -45,7 +45,7 @@
 		c.observe(time.Minute+step.after, cell.Status{Standstill: step.standstill, Isolated: step.isolated})
 		lines := strings.Count(out.String(), "\n")
 		if step.want == "" && lines != 0 || step.want != "" && (lines != 1 || !strings.Contains(out.String(), step.want)) {
-			t.Errorf("after %v: %q, want %q", step.after, out.String(), step.want)
+			t.Errorf("after %v: log %q, want %q", step.after, out.String(), step.want)
 		}
 	}
 	for _, name := range counters {
@@ -59,13 +59,13 @@
 	}
 }
 
-// Guards against conditions that no daemon observes.
+// Guards against a daemon that does not observe its conditions.
 func TestDaemonCountsIsolation(t *testing.T) {
-	y := newFixture(t, 1)
-	y.ready()
+	f := newFixture(t, 1)
+	f.waitReady()
 	began, ended := meter.Value("daemon.isolation.began"), meter.Value("daemon.isolation.ended")
-	y.store.SetFaults(objects.Faults{Outage: true})
-	y.until("begin of isolation", func() bool { return meter.Value("daemon.isolation.began") == began+1 })
-	y.store.SetFaults(objects.Faults{})
-	y.until("end of isolation", func() bool { return meter.Value("daemon.isolation.ended") == ended+1 })
+	f.store.SetFaults(objects.Faults{Outage: true})
+	f.waitFor("begin of isolation", func() bool { return meter.Value("daemon.isolation.began") == began+1 })
+	f.store.SetFaults(objects.Faults{})
+	f.waitFor("end of isolation", func() bool { return meter.Value("daemon.isolation.ended") == ended+1 })
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -27,7 +27,7 @@
 	"medlaryard.example/medlaryard/vmlist"
 )
 
-// daemon is one process of the tier.
+// daemon is one process of the query tier.
 type daemon struct {
 	cfg         settings.Settings
 	clk         clock.Clock
@@ -51,21 +51,21 @@
 	operators *server
 	listeners listeners
 
-	viewMu  sync.Mutex // Serialises changes of view.
-	view    atomic.Pointer[view]
-	changed chan struct{}
-	strikes *strikeBroadcast
-	source  shareSource
-	shares  shareLog
-	leaving atomic.Bool
-	failed  chan error // Holds the first failure of a listener.
+	viewMu   sync.Mutex // Serializes updates of view.
+	view     atomic.Pointer[view]
+	changed  chan struct{}
+	strikes  *strikeBroadcast
+	source   shareSource
+	shares   appliedShares
+	leaving  atomic.Bool
+	serveErr chan error // Buffers the first error of a listener.
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	tasks  sync.WaitGroup
 }
 
-// newDaemon opens the listeners and builds all parts without starting them.
+// newDaemon opens the listeners and builds all parts. It does not start them.
 func newDaemon(cfg settings.Settings) (*daemon, error) {
 	incarnation, err := newIncarnation()
 	if err != nil {
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &daemon{
 		cfg: cfg, clk: clock.System{}, incarnation: incarnation, started: time.Now(),
-		changed: make(chan struct{}, 1), failed: make(chan error, 1), ctx: ctx, cancel: cancel,
+		changed: make(chan struct{}, 1), serveErr: make(chan error, 1), ctx: ctx, cancel: cancel,
 	}
 	d.view.Store(&view{})
 	if d.listeners, err = listen(cfg); err != nil {
@@ -92,7 +92,7 @@
 	}
 	d.client = peer.NewClient(peerOptions...)
 	d.strikes = newStrikeBroadcast(d.client, d.others)
-	d.suspects = admission.NewSuspects(d.clk, d.strikes.tell)
+	d.suspects = admission.NewSuspects(d.clk, d.strikes.enqueue)
 	d.homes = home.NewSet(
 		home.WithLeaseEnd(func() time.Duration { return d.cell.LeaseEnd() }),
 		home.WithCrash(d.suspects.RecordCrash),
@@ -124,17 +124,17 @@
 		}),
 		cell.WithSeeds(d.cfg.Peers()),
 		cell.WithRelease(d.release),
-		cell.WithImport(d.adopt),
+		cell.WithImport(d.importEstimates),
 	}
 	if d.vms != nil {
-		options = append(options, cell.WithVMs(listed(d.cfg.Name(), d.cfg.VMListInterval(), d.vms.List, d.clk.Boot)))
+		options = append(options, cell.WithVMs(vmLookup(d.cfg.Name(), d.cfg.VMListInterval(), d.vms.List, d.clk.Boot)))
 	}
 	d.cell = cell.New(self, options...)
-	d.source = shareSource{key: d.cell.ShareKey, share: d.cell.Share, applied: d.cell.ConfirmShares}
+	d.source = shareSource{key: d.cell.ShareKey, share: d.cell.Share, confirm: d.cell.ConfirmShares}
 	d.cell.OnChange(func() {
 		select {
 		case d.changed <- struct{}{}:
-		default: // A refresh is due already.
+		default: // A refresh is already pending.
 		}
 	})
 }
@@ -143,20 +143,20 @@
 	tableOptions := []once.Option{
 		once.WithWindow(d.cfg.OnceWindow()), once.WithRecords(d.cfg.OnceRecords()), once.WithBytes(d.cfg.OnceBytes()),
 	}
-	own, relayed := once.NewTable(tableOptions...), once.NewTable(tableOptions...)
-	limiter := admission.NewLimiter(d.clk, func() int { return d.view.Load().addresses.entries() })
+	ownTable, relayedTable := once.NewTable(tableOptions...), once.NewTable(tableOptions...)
+	limiter := admission.NewLimiter(d.clk, func() int { return d.view.Load().addresses.entryCount() })
 	d.entry = entry.New(
 		d.fleet(),
 		entry.WithAdmission(limiter.Admit),
-		entry.WithSuspectState(d.standing),
-		entry.WithOnce(own, d.incarnation),
+		entry.WithSuspectState(d.suspectState),
+		entry.WithOnce(ownTable, d.incarnation),
 		entry.WithAddressTTL(d.cfg.AddressTTL()),
 	)
-	d.guard = once.NewGuard(relayed, d.suspectGate.Do)
-	d.responder = once.NewResponder(d.incarnation, d.entry.Now, own, relayed)
+	d.guard = once.NewGuard(relayedTable, d.suspectGate.Do)
+	d.responder = once.NewResponder(d.incarnation, d.entry.Now, ownTable, relayedTable)
 }
 
-// start begins all work. Callers are served last.
+// start starts all background work and listeners, the callers' listener last.
 func (d *daemon) start() {
 	if d.vms != nil {
 		d.vms.Start()
@@ -167,7 +167,7 @@
 	d.tasks.Go(d.refreshLoop)
 	d.tasks.Go(func() { d.moves.run(d.ctx) })
 	d.tasks.Go(func() { d.strikes.run(d.ctx, d.clk, d.suspects) })
-	probes := &prober{client: d.client, others: d.others, outcome: d.entry.RecordContact}
+	probes := &prober{client: d.client, others: d.others, recordContact: d.entry.RecordContact}
 	d.tasks.Go(func() { probes.run(d.ctx, d.clk) })
 	d.serve("callers", d.listeners.callers, d.callers.Serve)
 	log.Info().Str("incarnation", d.incarnation).Str("callers", d.listeners.callers.Addr().String()).
@@ -179,7 +179,7 @@
 	d.tasks.Go(func() {
 		if err := serve(l); err != nil {
 			select {
-			case d.failed <- eris.Wrapf(err, "listener for %s", name):
+			case d.serveErr <- eris.Wrapf(err, "serve the listener for %s", name):
 			default:
 			}
 		}
@@ -189,7 +189,7 @@
 func newIncarnation() (string, error) {
 	var id [16]byte
 	if _, err := rand.Read(id[:]); err != nil {
-		return "", eris.Wrap(err, "incarnation")
+		return "", eris.Wrap(err, "generate the daemon's incarnation")
 	}
 	return hex.EncodeToString(id[:]), nil
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Guards against parts that work alone and not together: a query and a
-// non-idempotent request must pass from any daemon through the homes to the
-// searchers, and operators must see it.
-func TestWholePath(t *testing.T) {
-	y := newFixture(t, 3)
-	y.ready()
-	first := y.members[0]
+// Guards against parts that are connected wrongly. A query and a non-idempotent
+// request must reach the searchers from any daemon, and status and metrics must show
+// them.
+func TestQueryEndToEnd(t *testing.T) {
+	f := newFixture(t, 3)
+	f.waitReady()
+	first := f.members[0]
 	want, err := query(first.callers, "la")
 	if err != nil || len(want.Hits) != 3 {
 		t.Fatalf("%+v, %v", want, err)
 	}
-	for _, m := range y.members {
+	for _, m := range f.members {
 		got, err := query(m.callers, "la")
 		if err != nil || len(got.Hits) != 3 || got.Hits[0] != want.Hits[0] || got.Hits[2] != want.Hits[2] {
 			t.Errorf("%+v, %v; want %+v", got, err, want)
 		}
 	}
-	y.runOnce()
+	f.checkRunsOnce()
 	code, text := get(t, "http://"+first.operators+"/v1/status")
 	var status statusReply
 	if err := json.Unmarshal([]byte(text), &status); err != nil || code != http.StatusOK {
 		t.Fatalf("status %d: %v", code, err)
 	}
-	if status.Daemon.State != serving || len(status.Services) != 2 || len(status.Services[0].Groups) != 4 {
+	if status.Daemon.State != stateServing || len(status.Services) != 2 || len(status.Services[0].Groups) != 4 {
 		t.Errorf("status %s", text)
 	}
 	for _, g := range status.Services[0].Groups {
@@ -42,19 +42,20 @@
 	}
 	_, text = get(t, "http://"+first.operators+"/metrics")
 	if !strings.Contains(text, "medlaryard_entry_answers_songs_total ") || !strings.Contains(text, `quantile="0.99"`) {
-		t.Errorf("metrics lack the entry's figures:\n%s", text)
+		t.Errorf("metrics of the entry are missing:\n%s", text)
 	}
 	if code, _ := get(t, "http://"+first.operators+"/healthz"); code != http.StatusOK {
-		t.Errorf("health check answers %d", code)
+		t.Errorf("health check: status %d, want 200", code)
 	}
 }
 
-// runOnce sends one request to its incarnation and resends it to all daemons.
-func (y *fixture) runOnce() {
-	y.t.Helper()
-	list, err := call(http.MethodGet, "http://"+y.members[0].callers+"/v1/addresses", nil)
+// checkRunsOnce sends one non-idempotent request twice to every daemon and checks that
+// it runs once.
+func (f *fixture) checkRunsOnce() {
+	f.t.Helper()
+	list, err := call(http.MethodGet, "http://"+f.members[0].callers+"/v1/addresses", nil)
 	if err != nil || len(list.Addresses) != 3 {
-		y.t.Fatalf("%+v, %v", list, err)
+		f.t.Fatalf("%+v, %v", list, err)
 	}
 	body := map[string]any{
 		"id": "play-1", "owner": "desk", "class": "interactive", "service": "queue", "route": "add", "deadline_ms": 1500,
@@ -63,36 +64,36 @@
 	for _, a := range append(list.Addresses, list.Addresses...) {
 		r, err := call(http.MethodPost, "http://"+a.Address+"/v1/run", body)
 		if err != nil || r.Outcome != "ok" {
-			y.t.Errorf("run at %s: %+v, %v", a.Address, r, err)
+			f.t.Errorf("run at %s: %+v, %v", a.Address, r, err)
 		}
 	}
-	if n := y.fleet.Runs()["play-1"]; n != 1 {
-		y.t.Errorf("request ran %d times", n)
+	if n := f.fleet.Runs()["play-1"]; n != 1 {
+		f.t.Errorf("request ran %d times, want 1", n)
 	}
 }
 
-// Guards against a graceful shutdown that cuts off or refuses a request of
-// callers who keep addresses no longer than they may.
+// Guards against a graceful shutdown that aborts or refuses requests of callers that
+// keep addresses no longer than the address TTL.
 func TestGracefulShutdownLosesNoQuery(t *testing.T) {
-	y := newFixture(t, 3)
-	y.ready()
-	var c callers
+	f := newFixture(t, 3)
+	f.waitReady()
+	var loop queryLoop
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for k := range 6 {
-		wg.Go(func() { c.work(y.members[k%3].callers, k, 200*time.Millisecond, stop) })
+		wg.Go(func() { loop.run(f.members[k%3].callers, k, 200*time.Millisecond, stop) })
 	}
 	time.Sleep(time.Second)
-	leaving := y.members[2]
+	leaving := f.members[2]
 	leaving.stop()
 	if err := <-leaving.done; err != nil {
 		t.Errorf("shutdown: %v", err)
 	}
-	leaving.done <- nil // The cleanup waits for it as well.
+	leaving.done <- nil // The cleanup receives from it too.
 	time.Sleep(time.Second)
 	close(stop)
 	wg.Wait()
-	if len(c.faults) > 0 || c.sent == 0 {
-		t.Errorf("%d of %d queries failed, first %q", len(c.faults), c.sent, c.faults[:min(3, len(c.faults))])
+	if len(loop.failures) > 0 || loop.sent == 0 {
+		t.Errorf("%d of %d queries failed, first %q", len(loop.failures), loop.sent, loop.failures[:min(3, len(loop.failures))])
 	}
 }
--- a/daemon/evidence.go
+++ b/daemon/evidence.go
@@ -8,16 +8,19 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// maxEvidence bounds the entries of one report; a cell has at most a few
-// services in a move, with two versions and some routes each.
+// maxEvidence is the maximum number of evidence entries in one report. Only a few
+// services of a cell are in a version move at a time, with two versions and several
+// routes each.
 const maxEvidence = 1024
 
-func reportOut(incarnation string, evidence []move.Evidence, stops []move.Stop) *peerpb.ReportRequest {
+// encodeReport converts evidence and stops to a report request. Evidence that cannot
+// be encoded is left out.
+func encodeReport(incarnation string, evidence []move.Evidence, stops []move.Stop) *peerpb.ReportRequest {
 	out := &peerpb.ReportRequest{Incarnation: incarnation}
 	for _, e := range evidence {
 		latency, err := e.Sample().Encode()
 		if err != nil {
-			log.Error().Err(err).Str("service", e.Service()).Msg("evidence is not encoded")
+			log.Error().Err(err).Str("service", e.Service()).Msg("failed to encode the evidence of a service; it is left out of the report")
 			continue
 		}
 		out.Evidence = append(out.Evidence, &peerpb.MoveEvidence{
@@ -33,7 +36,9 @@
 	return out
 }
 
-func evidenceIn(in *peerpb.ReportRequest) []move.Evidence {
+// decodeEvidence returns the valid entries among the first maxEvidence of in. It counts
+// the others as refused.
+func decodeEvidence(in *peerpb.ReportRequest) []move.Evidence {
 	var list []move.Evidence
 	for i, e := range in.GetEvidence() {
 		if i >= maxEvidence {
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -26,19 +26,18 @@
 
 func init() { invariant.FatalInTests() }
 
-// patience is how long the tests wait for daemons to agree. Nothing is asserted
-// about the time itself.
-const patience = 30 * time.Second
+// waitTimeout is how long waitFor waits. The tests assert nothing about the time.
+const waitTimeout = 30 * time.Second
 
-// fixture is a store, searchers and daemons in one process, on loopback.
+// fixture runs a store, searchers and daemons in one process on loopback addresses.
 type fixture struct {
-	t       *testing.T
-	store   *objects.Store
-	address string // Of the store.
-	fleet   *searchers.Fleet
-	text    string // The first catalogue.
-	members []*member
-	set     func(*settings.Spec) // Changes the settings of daemons to start; may be nil.
+	t          *testing.T
+	store      *objects.Store
+	address    string // Of the store.
+	fleet      *searchers.Fleet
+	catalogue  string // The first catalogue.
+	members    []*member
+	changeSpec func(*settings.Spec) // Changes the settings of daemons before their start; may be nil.
 }
 
 // member is one running daemon.
@@ -49,28 +48,29 @@
 }
 
 func newFixture(t *testing.T, daemons int) *fixture {
-	y := &fixture{t: t, store: objects.New()}
-	server := httptest.NewServer(objects.NewHandler(y.store))
+	f := &fixture{t: t, store: objects.New()}
+	server := httptest.NewServer(objects.NewHandler(f.store))
 	t.Cleanup(server.Close)
-	y.address = strings.TrimPrefix(server.URL, "http://")
+	f.address = strings.TrimPrefix(server.URL, "http://")
 	text := catalogueText(freeAddresses(t, 11))
-	y.text = text
+	f.catalogue = text
 	estate, err := evaluate.Text("test", []byte(text), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	y.fleet, err = searchers.StartFleet(searchers.NewCorpus(1, 500), searchers.FromCatalogue(estate, searchers.Config{ServiceTime: 2 * time.Millisecond}))
+	f.fleet, err = searchers.StartFleet(searchers.NewCorpus(1, 500), searchers.FromCatalogue(estate, searchers.Config{ServiceTime: 2 * time.Millisecond}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(y.fleet.Close)
-	y.apply(0, text)
+	t.Cleanup(f.fleet.Close)
+	f.apply(0, text)
 	for i := range daemons {
-		y.start(i)
+		f.start(i)
 	}
-	return y
+	return f
 }
 
+// catalogueText returns a catalogue with searchers at the 11 addresses of a.
 func catalogueText(a []string) string {
 	list := func(from, to int) string { return `["` + strings.Join(a[from:to], `", "`) + `"]` }
 	return fmt.Sprintf(`
@@ -103,46 +103,46 @@
 `, list(0, 4), list(4, 8), list(8, 9), list(9, 11))
 }
 
-// apply puts a catalogue in force.
-func (y *fixture) apply(based uint64, text string) {
-	y.t.Helper()
-	if _, err := publish.New(y.store).Apply(context.Background(), []byte(text), "test", based); err != nil {
-		y.t.Fatal(err)
+// apply publishes a catalogue based on generation baseGeneration.
+func (f *fixture) apply(baseGeneration uint64, text string) {
+	f.t.Helper()
+	if _, err := publish.New(f.store).Apply(context.Background(), []byte(text), "test", baseGeneration); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-func (y *fixture) start(i int) { y.startIn(i, "domain-a") }
+func (f *fixture) start(i int) { f.startIn(i, "domain-a") }
 
-func (y *fixture) startIn(i int, domain string) {
-	spec := y.spec(i, domain)
+func (f *fixture) startIn(i int, domain string) {
+	spec := f.spec(i, domain)
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{callers: spec.CallerListen, operators: spec.OperatorListen, stop: cancel, done: make(chan error, 1)}
 	go func() { m.done <- Run(ctx, settings.New(spec)) }()
-	y.members = append(y.members, m)
-	y.t.Cleanup(func() {
+	f.members = append(f.members, m)
+	f.t.Cleanup(func() {
 		cancel()
 		<-m.done
 	})
 }
 
-// spec returns the settings of a daemon.
-func (y *fixture) spec(i int, domain string) settings.Spec {
-	free := freeAddresses(y.t, 3)
+// spec returns the settings of daemon i.
+func (f *fixture) spec(i int, domain string) settings.Spec {
+	free := freeAddresses(f.t, 3)
 	spec := settings.Default()
 	spec.Name, spec.Region, spec.Domain = fmt.Sprint("vm-", i), "local", domain
 	spec.CallerListen, spec.CallerAdvertise = free[0], free[0]
 	spec.PeerListen, spec.PeerAdvertise = free[1], free[1]
-	spec.OperatorListen, spec.StoreAddress = free[2], y.address
+	spec.OperatorListen, spec.StoreAddress = free[2], f.address
 	spec.AddressTTL = 300 * time.Millisecond
-	if y.set != nil {
-		y.set(&spec)
+	if f.changeSpec != nil {
+		f.changeSpec(&spec)
 	}
 	return spec
 }
 
-// freeAddresses returns loopback addresses that nothing listens on. They have an
-// IP address of this process: on 127.0.0.1 a connection of another test took a
-// free port before the fixture listened on it.
+// freeAddresses returns n loopback addresses with free ports. The IP address depends
+// on the process, because on 127.0.0.1 a connection of another test can take a free
+// port before the fixture listens on it.
 func freeAddresses(t *testing.T, n int) []string {
 	t.Helper()
 	ip := fmt.Sprintf("127.%d.%d.1", 1+os.Getpid()/250%250, 1+os.Getpid()%250)
@@ -158,7 +158,7 @@
 	return list
 }
 
-// reply is any answer of the callers' interface.
+// reply is any response of the callers' interface.
 type reply struct {
 	Addresses []struct{ Address, Incarnation string }
 	IssuedMS  int64 `json:"issued_ms"`
@@ -196,47 +196,47 @@
 	})
 }
 
-// warmUp is the number of consecutive answers with full coverage after which
-// the searchers count as warm for the load of these tests.
-const warmUp = 60
+// warmUpAnswers is the number of consecutive answers with full coverage after which
+// the searchers count as warm at the load of these tests.
+const warmUpAnswers = 60
 
-// ready waits until every daemon knows all others and the searchers are warm.
-func (y *fixture) ready() {
-	y.t.Helper()
-	for _, m := range y.members {
-		y.until("complete membership", func() bool {
+// waitReady waits until every daemon lists all others and the searchers are warm.
+func (f *fixture) waitReady() {
+	f.t.Helper()
+	for _, m := range f.members {
+		f.waitFor("complete membership", func() bool {
 			r, err := call(http.MethodGet, "http://"+m.callers+"/v1/addresses", nil)
-			return err == nil && len(r.Addresses) == len(y.members)
+			return err == nil && len(r.Addresses) == len(f.members)
 		})
 	}
-	good := 0
-	y.until("full coverage", func() bool {
+	consecutive := 0
+	f.waitFor("full coverage", func() bool {
 		var wg sync.WaitGroup
 		var missed atomic.Int64
-		for k := range 2 * len(y.members) {
+		for k := range 2 * len(f.members) {
 			wg.Go(func() {
-				r, err := query(y.members[k%len(y.members)].callers, "probe")
+				r, err := query(f.members[k%len(f.members)].callers, "probe")
 				if err != nil || r.Coverage.Fraction != 1 {
 					missed.Add(1)
 				}
 			})
 		}
 		wg.Wait()
-		if good += 2 * len(y.members); missed.Load() > 0 {
-			good = 0
+		if consecutive += 2 * len(f.members); missed.Load() > 0 {
+			consecutive = 0
 		}
-		return good >= warmUp
+		return consecutive >= warmUpAnswers
 	})
 }
 
-func (y *fixture) until(what string, ok func() bool) {
-	y.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+func (f *fixture) waitFor(what string, ok func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	y.t.Fatalf("no %s within %v", what, patience)
+	f.t.Fatalf("no %s within %v", what, waitTimeout)
 }
 
 func get(t *testing.T, url string) (int, string) {
@@ -253,49 +253,49 @@
 	return resp.StatusCode, string(data)
 }
 
-// callers sends queries and asks for addresses as often as it is told to.
-type callers struct {
-	mu     sync.Mutex
-	faults []string
-	sent   int
+// queryLoop sends queries as a caller does and counts them and their failures.
+type queryLoop struct {
+	mu       sync.Mutex
+	failures []string
+	sent     int
 }
 
-// work sends queries to the addresses of the latest answer until stop closes.
-func (c *callers) work(seed string, k int, ttl time.Duration, stop chan struct{}) {
+// run sends queries until stop closes. It requests the addresses again every ttl.
+func (q *queryLoop) run(seed string, k int, ttl time.Duration, stop chan struct{}) {
 	var list []struct{ Address, Incarnation string }
-	var asked time.Time
+	var refreshed time.Time
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
 			return
 		default:
 		}
-		if time.Since(asked) >= ttl {
-			at := seed
+		if time.Since(refreshed) >= ttl {
+			address := seed
 			if len(list) > 0 {
-				at = list[n%len(list)].Address
+				address = list[n%len(list)].Address
 			}
-			r, err := call(http.MethodGet, "http://"+at+"/v1/addresses", nil)
+			r, err := call(http.MethodGet, "http://"+address+"/v1/addresses", nil)
 			if err != nil || len(r.Addresses) == 0 {
-				c.note(fmt.Sprintf("addresses from %s: %v", at, err))
+				q.addFailure(fmt.Sprintf("addresses from %s: %v", address, err))
 				continue
 			}
-			list, asked = r.Addresses, time.Now()
+			list, refreshed = r.Addresses, time.Now()
 		}
 		id := fmt.Sprintf("c%d-%d", k, n)
 		r, err := query(list[n%len(list)].Address, id)
 		if err != nil || r.Kind != "" || r.ID != id || r.Coverage.Fraction != 1 {
-			c.note(fmt.Sprintf("query %s: %+v, %v", id, r, err))
+			q.addFailure(fmt.Sprintf("query %s: %+v, %v", id, r, err))
 		}
-		c.mu.Lock()
-		c.sent++
-		c.mu.Unlock()
+		q.mu.Lock()
+		q.sent++
+		q.mu.Unlock()
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (c *callers) note(fault string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.faults = append(c.faults, fault)
+func (q *queryLoop) addFailure(failure string) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.failures = append(q.failures, failure)
 }
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -12,15 +12,17 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// fleet is the entry's view of this daemon and of the others.
+// fleet returns the functions by which the entry uses this daemon and the others.
 func (d *daemon) fleet() entry.Fleet {
 	return entry.Fleet{
 		Estate: func() (catalogue.Estate, bool) {
 			v := d.view.Load()
-			return v.estate, v.known
+			return v.estate, v.hasCatalogue
+		},
+		PreferenceList: func(group string) []entry.Home { return d.view.Load().preferenceLists[group] },
+		Local: func(ctx context.Context, r shard.Request) shard.Result {
+			return d.withAvailableSnapshots(d.suspectGate.Do(ctx, r))
 		},
-		PreferenceList:     func(group string) []entry.Home { return d.view.Load().homes[group] },
-		Local:              func(ctx context.Context, r shard.Request) shard.Result { return d.withHeld(d.suspectGate.Do(ctx, r)) },
 		AvailableSnapshots: func(group string) []shard.Label { return d.homes.AvailableSnapshots(group) },
 		Relay:              d.relay,
 		Outcome: func(ctx context.Context, to entry.Home, in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
@@ -43,10 +45,10 @@
 	return peer.Results(reply)
 }
 
-// addresses lists the entries in random order, because callers try them in the
-// order of the answer. Daemons that do not answer this one and those in a failure
-// domain out of service are left out, and a daemon that would list nobody lists
-// itself.
+// addresses returns the addresses for callers. They are in random order because
+// callers try them in the order of the response. It leaves out daemons that do not
+// respond to this one and daemons in a failure domain that is out of service. If no
+// address is left, it returns that of this daemon, unless the daemon is leaving.
 func (d *daemon) addresses() []entry.Address {
 	list := d.view.Load().addresses.reachable(func(member string) bool {
 		return member == d.cfg.Name() || d.entry.Reachable(member)
@@ -58,7 +60,8 @@
 	return list
 }
 
-func (d *daemon) standing(fingerprint uint64) entry.SuspectState {
+// suspectState returns whether requests with fingerprint crashed searchers.
+func (d *daemon) suspectState(fingerprint uint64) entry.SuspectState {
 	switch d.suspects.Crashes(fingerprint) {
 	case 0:
 		return entry.Clean
@@ -80,7 +83,7 @@
 	return list
 }
 
-// serveRelay runs the sub-requests of one query of another daemon.
+// serveRelay runs the sub-requests that another daemon sends for one query.
 func (d *daemon) serveRelay(ctx context.Context, in *peerpb.RelayRequest) (*peerpb.RelayReply, error) {
 	requests, err := peer.Requests(in, d.clk.Boot())
 	generation := d.view.Load().estate.Generation()
@@ -91,7 +94,7 @@
 	done := make(chan struct{}, len(requests))
 	for i, r := range requests {
 		go func() {
-			results[i] = d.withHeld(d.guard.Do(ctx, r))
+			results[i] = d.withAvailableSnapshots(d.guard.Do(ctx, r))
 			done <- struct{}{}
 		}()
 	}
@@ -101,7 +104,7 @@
 	return peer.RelayReply(results, generation, 0), nil
 }
 
-// refuseAll answers every item of a message that cannot be run.
+// refuseAll returns a refusal for every item of a message that cannot be decoded.
 func refuseAll(in *peerpb.RelayRequest, err error) []shard.Result {
 	e := refusal.Of(err)
 	results := make([]shard.Result, 0, len(in.Items))
@@ -113,20 +116,20 @@
 	return results
 }
 
-// withHeld adds what the group holds to an answer from another snapshot than
-// the newest. In a steady state replies stay small, and entries know from the
-// absence that nothing changed.
-func (d *daemon) withHeld(r shard.Result) shard.Result {
+// withAvailableSnapshots adds the list of the group's snapshots to a result that is not
+// from the newest one. Without a list, the result is from the newest snapshot, so
+// replies stay small in a steady state.
+func (d *daemon) withAvailableSnapshots(r shard.Result) shard.Result {
 	if r.Kind() != refusal.None {
 		return r
 	}
-	held := d.homes.AvailableSnapshots(r.Group())
-	if len(held) == 0 || held[0] == r.Label() {
+	available := d.homes.AvailableSnapshots(r.Group())
+	if len(available) == 0 || available[0] == r.Label() {
 		return r
 	}
 	return shard.NewResult(shard.ResultSpec{
 		Kind: r.Kind(), Ran: r.Ran(), Shard: r.Shard(), Group: r.Group(), Searcher: r.Searcher(),
 		Version: r.Version(), Label: r.Label(), Hits: r.Hits(), Body: r.Body(), Attempts: r.Attempts(),
-		Crashed: r.Crashed(), AvailableSnapshots: held, Detail: r.Detail(),
+		Crashed: r.Crashed(), AvailableSnapshots: available, Detail: r.Detail(),
 	})
 }
--- a/daemon/handlers.go
+++ b/daemon/handlers.go
@@ -8,7 +8,7 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// handlers are the peer calls that this daemon serves.
+// handlers returns the handlers of the peer calls that this daemon serves.
 func (d *daemon) handlers() peer.Handlers {
 	return peer.Handlers{
 		Relay:     d.serveRelay,
@@ -26,25 +26,25 @@
 	}
 }
 
-// release stops the homes of groups and returns what they learned.
+// release stops the homes of groups and returns their estimates of searchers.
 func (d *daemon) release(ctx context.Context, groups []string) []*peerpb.ReleasedGroup {
 	var out []*peerpb.ReleasedGroup
 	for _, r := range d.homes.Release(ctx, groups) {
-		out = append(out, releasedOut(r))
+		out = append(out, encodeReleased(r))
 	}
 	return out
 }
 
-// adopt hands what previous homes learned to this daemon's homes.
-func (d *daemon) adopt(groups []*peerpb.ReleasedGroup) {
+// importEstimates passes the estimates of the previous homes to this daemon's homes.
+func (d *daemon) importEstimates(groups []*peerpb.ReleasedGroup) {
 	for _, g := range groups {
 		if g != nil {
-			d.homes.ImportEstimates(g.Group, releasedIn(g))
+			d.homes.ImportEstimates(g.Group, decodeReleased(g))
 		}
 	}
 }
 
-func releasedOut(r home.Released) *peerpb.ReleasedGroup {
+func encodeReleased(r home.Released) *peerpb.ReleasedGroup {
 	out := &peerpb.ReleasedGroup{Group: r.Group()}
 	for _, e := range r.Searchers() {
 		out.Searchers = append(out.Searchers, &peerpb.SearcherEstimate{
@@ -55,7 +55,7 @@
 	return out
 }
 
-func releasedIn(g *peerpb.ReleasedGroup) home.Released {
+func decodeReleased(g *peerpb.ReleasedGroup) home.Released {
 	var list []home.Estimate
 	for _, s := range g.Searchers {
 		if s != nil {
--- a/daemon/listeners.go
+++ b/daemon/listeners.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// maxPeerConnections allows every daemon of a cell its connections.
+	// maxPeerConnections leaves room for the connections of every daemon of a cell.
 	maxPeerConnections = 8192
-	// maxOperatorConnections is enough for scrapers and people.
+	// maxOperatorConnections leaves room for metrics scrapers and operators.
 	maxOperatorConnections = 64
 )
 
-// listeners are the three addresses that a daemon serves.
+// listeners holds the three listeners of a daemon.
 type listeners struct {
 	callers, peers, operators net.Listener
 }
 
-// listen opens all listeners or none.
+// listen opens all listeners. If one fails, it closes the others.
 func listen(cfg settings.Settings) (listeners, error) {
 	var l listeners
 	for _, s := range []struct {
-		into    *net.Listener
-		path    string
-		address string
-		limit   int
+		listener *net.Listener
+		path     string
+		address  string
+		limit    int
 	}{
 		{&l.peers, "peer.listen", cfg.PeerListen(), maxPeerConnections},
 		{&l.operators, "operator.listen", cfg.OperatorListen(), maxOperatorConnections},
-		// The callers' server has its own limit, which answers with a refusal.
+		// The callers' server limits its connections itself and responds with a refusal.
 		{&l.callers, "caller.listen", cfg.CallerListen(), 0},
 	} {
 		opened, err := net.Listen("tcp", s.address)
@@ -43,7 +43,7 @@
 		if s.limit > 0 {
 			opened = netutil.LimitListener(opened, s.limit)
 		}
-		*s.into = opened
+		*s.listener = opened
 	}
 	return l, nil
 }
--- a/daemon/logging.go
+++ b/daemon/logging.go
@@ -11,25 +11,26 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// Fields of log lines: daemon, service, group, shard, searcher, move, member,
-// epoch, generation, listener, reason, error, count. Other packages use the
-// same names for the same things.
+// All packages use the same field names in log lines: daemon, service, group, shard,
+// searcher, move, member, epoch, generation, listener, reason, error, count.
 const (
-	// linesPerSecond bounds the lines of each level. A storm of refusals is
-	// visible in the counters; the log shows the first lines of each second.
+	// linesPerSecond is the maximum number of lines of each level. Under a burst of
+	// refusals, the counters give the totals and the log has the first lines of each
+	// second.
 	linesPerSecond = 20
 )
 
 var limitOnce sync.Once
 
-// limitLog bounds the lines of the global logger. Tests run several daemons in
-// one process.
-func limitLog() {
-	limitOnce.Do(func() { log.Logger = log.Logger.Sample(newLineLimit(time.Now)) })
+// limitLogRate limits the rate of the global logger, once per process because tests
+// run several daemons in one process.
+func limitLogRate() {
+	limitOnce.Do(func() { log.Logger = log.Logger.Sample(newLineSampler(time.Now)) })
 }
 
-// lineLimit is a zerolog.Sampler that admits linesPerSecond lines of each level.
-type lineLimit struct {
+// lineSampler is a zerolog.Sampler that admits linesPerSecond lines of each level in
+// a second.
+type lineSampler struct {
 	now func() time.Time
 
 	mu     sync.Mutex
@@ -37,12 +38,13 @@
 	lines  map[zerolog.Level]int
 }
 
-func newLineLimit(now func() time.Time) *lineLimit {
-	return &lineLimit{now: now, lines: make(map[zerolog.Level]int)}
+func newLineSampler(now func() time.Time) *lineSampler {
+	return &lineSampler{now: now, lines: make(map[zerolog.Level]int)}
 }
 
-// Sample reports whether a line is written.
-func (l *lineLimit) Sample(level zerolog.Level) bool {
+// Sample reports whether to write a line of level. Lines of level fatal and above are
+// always written.
+func (l *lineSampler) Sample(level zerolog.Level) bool {
 	if level >= zerolog.FatalLevel {
 		return true
 	}
@@ -61,15 +63,15 @@
 	return false
 }
 
-// newStdLog returns a standard logger that writes lines of level warn.
+// newStdLog returns a standard logger that writes to l with level warn.
 func newStdLog(l zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(warnWriter{l}, "", 0)
 }
 
-// warnWriter turns the lines of a standard logger into log lines.
+// warnWriter writes the lines of a standard logger to log.
 type warnWriter struct{ log zerolog.Logger }
 
-// Write logs p as one line.
+// Write logs p as one line of level warn.
 func (w warnWriter) Write(p []byte) (int, error) {
 	w.log.Warn().Str("error", string(p)).Msg("HTTP server reported an error")
 	return len(p), nil
--- a/daemon/logging_test.go
+++ b/daemon/logging_test.go
@@ -11,12 +11,12 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// Guards against a storm of lines that fills the log, against lines of another
-// level that the storm hides, and against a drop that no counter shows.
-func TestStormOfLinesIsLimited(t *testing.T) {
+// Guards against a burst of lines that fills the log, against dropping lines of
+// another level during the burst, and against dropped lines that are not counted.
+func TestLogRateLimit(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	var out bytes.Buffer
-	l := zerolog.New(&out).Sample(newLineLimit(func() time.Time { return now }))
+	l := zerolog.New(&out).Sample(newLineSampler(func() time.Time { return now }))
 	dropped := meter.Value("log.dropped.warn")
 	for range 1000 {
 		l.Warn().Str("service", "songs").Msg("storm")
--- a/daemon/moves.go
+++ b/daemon/moves.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// moveInterval is the time between reports of evidence, and so between a
-	// home's evidence of a fault and its local stop.
+	// moveInterval is the time between reports of evidence. It also bounds the time
+	// from a home's evidence of a fault to its local stop.
 	moveInterval = time.Second
-	// moveCallTime bounds one report or step.
-	moveCallTime = 2 * time.Second
+	// moveRoundTimeout is the timeout of one report or step.
+	moveRoundTimeout = 2 * time.Second
 )
 
-// moves runs this daemon's part of version moves: it reports the evidence of
-// its homes to the cell keeper, which is the controller, and applies the shares
-// that the keeper announces.
+// moves runs this daemon's part of version moves. It reports the evidence of its
+// homes to the cell's leader, which runs the controller, and applies the shares that
+// the leader returns.
 type moves struct {
 	clk         clock.Clock
 	cell        *cell.Cell
@@ -47,7 +47,7 @@
 	}
 }
 
-// run follows the declared moves until ctx ends.
+// run executes a round of the declared moves every moveInterval until ctx ends.
 func (m *moves) run(ctx context.Context) {
 	for clock.Sleep(ctx, m.clk, moveInterval) == nil {
 		estate, ok := m.cell.Estate()
@@ -58,26 +58,28 @@
 		if !declaresMoves(estate) {
 			continue
 		}
-		m.round(ctx, estate)
+		m.runRound(ctx, estate)
 	}
 }
 
-func (m *moves) round(ctx context.Context, estate catalogue.Estate) {
-	ctx, cancel := clock.WithDeadline(ctx, m.clk, m.clk.Boot()+moveCallTime)
+// runRound evaluates this daemon's evidence and either steps the moves, if it is the
+// cell's leader, or reports to the leader and applies its shares.
+func (m *moves) runRound(ctx context.Context, estate catalogue.Estate) {
+	ctx, cancel := clock.WithDeadline(ctx, m.clk, m.clk.Boot()+moveRoundTimeout)
 	defer cancel()
 	evidence := m.evidence(estate)
 	m.follower.Observe(evidence)
 	if m.cell.IsLeader() {
-		m.control(ctx, estate, evidence)
+		m.runLeaderRound(ctx, estate, evidence)
 		return
 	}
-	keeper, ok := m.cell.Leader()
+	leader, ok := m.cell.Leader()
 	if !ok {
 		return
 	}
-	reply, err := m.report(ctx, keeper.PeerAddress(), reportOut(m.incarnation, evidence, m.follower.Stops()))
+	reply, err := m.report(ctx, leader.PeerAddress(), encodeReport(m.incarnation, evidence, m.follower.Stops()))
 	if err != nil {
-		log.Warn().Err(err).Str("keeper", keeper.Name()).Msg("evidence on version moves is not delivered")
+		log.Warn().Err(err).Str("keeper", leader.Name()).Msg("failed to report the evidence on version moves to the keeper; retrying in the next round")
 		return
 	}
 	for _, s := range reply.GetShares() {
@@ -85,31 +87,32 @@
 	}
 }
 
-// control is a round of the daemon that keeps the cell.
-func (m *moves) control(ctx context.Context, estate catalogue.Estate, evidence []move.Evidence) {
+// runLeaderRound steps the moves and applies their states.
+func (m *moves) runLeaderRound(ctx context.Context, estate catalogue.Estate, evidence []move.Evidence) {
 	m.controller.Report(m.incarnation, evidence)
-	m.takeStops(m.follower.Stops())
+	m.recordStops(m.follower.Stops())
 	if err := m.controller.Step(ctx, estate); err != nil {
-		log.Warn().Err(err).Msg("version moves are not stepped")
+		log.Warn().Err(err).Msg("failed to step the version moves; retrying in the next round")
 	}
 	for _, s := range m.controller.States() {
 		m.follower.Apply(s)
 	}
 }
 
-func (m *moves) takeStops(stops []move.Stop) {
+func (m *moves) recordStops(stops []move.Stop) {
 	for _, s := range stops {
 		m.controller.Stopped(s.Service(), s.Move(), s.To(), s.Reason())
 	}
 }
 
-// serveReport takes the evidence of another daemon. Only the keeper announces
-// shares: a former one may know old states only.
+// serveReport records the evidence and stops of another daemon and returns the shares
+// of the moves. A daemon that is not the leader ignores the report and returns no
+// shares, because its states may be out of date.
 func (m *moves) serveReport(_ context.Context, in *peerpb.ReportRequest) (*peerpb.ReportReply, error) {
 	if !m.cell.IsLeader() {
 		return &peerpb.ReportReply{}, nil
 	}
-	m.controller.Report(in.GetIncarnation(), evidenceIn(in))
+	m.controller.Report(in.GetIncarnation(), decodeEvidence(in))
 	for _, s := range in.GetStops() {
 		m.controller.Stopped(s.GetService(), s.GetMove(), s.GetTo(), s.GetReason())
 	}
@@ -120,7 +123,7 @@
 	return reply, nil
 }
 
-// evidence converts what the homes saw of the services that declare moves.
+// evidence returns the homes' evidence on the services that declare moves.
 func (m *moves) evidence(estate catalogue.Estate) []move.Evidence {
 	var list []move.Evidence
 	for _, e := range m.homes.Evidence() {
@@ -130,7 +133,7 @@
 		}
 		sample, err := move.SampleOf(e.Requests(), e.Errors(), e.Latency())
 		if err != nil {
-			log.Error().Err(err).Str("service", e.Service()).Msg("evidence of a home is not usable")
+			log.Error().Err(err).Str("service", e.Service()).Msg("invalid evidence from a home; it is ignored")
 			continue
 		}
 		list = append(list, move.NewEvidence(e.Service(), e.Version(), e.Route(), sample))
--- a/daemon/operator.go
+++ b/daemon/operator.go
@@ -8,8 +8,8 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// operatorHandler serves the operators' interface. Without the key only the
-// health check answers.
+// operatorHandler returns the handler of the operators' interface. If an operator key
+// is set, all paths except the health check require it.
 func (d *daemon) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
@@ -25,7 +25,7 @@
 	})
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		if state := d.state(); state != serving {
+		if state := d.state(); state != stateServing {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = w.Write([]byte(state + "\n"))
 			return
--- a/daemon/prober.go
+++ b/daemon/prober.go
@@ -16,28 +16,29 @@
 
 const (
 	// probeInterval is the time between probes, which go to the other daemons in
-	// turn. Today's six others are each probed every 1.2 s; the cost does not
-	// grow with the cell.
+	// turn. In a cell of seven daemons, each of the six others is probed every 1.2 s.
+	// The cost does not grow with the cell.
 	probeInterval = 200 * time.Millisecond
-	// probeTimeout is far above the answer time of a loaded daemon.
+	// probeTimeout is far above the response time of a loaded daemon.
 	probeTimeout = 500 * time.Millisecond
-	// silentProbes is the number of unanswered probes in a row after which a
-	// daemon counts as unreachable. A refused connection counts at once.
-	silentProbes = 2
+	// maxUnansweredProbes is the number of consecutive unanswered probes after which a
+	// daemon counts as unreachable. After a refused connection it counts as
+	// unreachable at once.
+	maxUnansweredProbes = 2
 )
 
-// prober finds daemons that do not answer, so that callers are not sent to them
-// while the membership still lists them.
+// prober detects daemons that do not respond, so that callers do not get their
+// addresses while the membership still lists them.
 type prober struct {
-	client  *peer.Client
-	others  func() []entry.Home
-	outcome func(h entry.Home, answered bool)
-	silent  map[string]int // Unanswered probes in a row by name.
-	next    int
+	client        *peer.Client
+	others        func() []entry.Home
+	recordContact func(h entry.Home, answered bool)
+	unanswered    map[string]int // Consecutive unanswered probes by daemon name.
+	next          int
 }
 
 func (p *prober) run(ctx context.Context, clk clock.Clock) {
-	p.silent = make(map[string]int)
+	p.unanswered = make(map[string]int)
 	for clock.Sleep(ctx, clk, probeInterval) == nil {
 		list := p.others()
 		if len(list) == 0 {
@@ -46,8 +47,8 @@
 		slices.SortFunc(list, func(a, b entry.Home) int { return strings.Compare(a.Name(), b.Name()) })
 		p.next++
 		p.probe(ctx, clk, list[p.next%len(list)])
-		if len(p.silent) > len(list) {
-			clear(p.silent) // Daemons that left.
+		if len(p.unanswered) > len(list) {
+			clear(p.unanswered) // The map has entries of daemons that left.
 		}
 	}
 }
@@ -55,16 +56,16 @@
 func (p *prober) probe(ctx context.Context, clk clock.Clock, h entry.Home) {
 	ctx, cancel := clock.WithDeadline(ctx, clk, clk.Boot()+probeTimeout)
 	defer cancel()
-	// A call without strikes changes nothing at the other daemon.
+	// A Strike call without strikes has no effect on the other daemon.
 	_, err := p.client.Strike(ctx, h.PeerAddress(), &peerpb.StrikeRequest{})
 	if err == nil {
-		p.silent[h.Name()] = 0
-		p.outcome(h, true)
+		p.unanswered[h.Name()] = 0
+		p.recordContact(h, true)
 		return
 	}
 	meter.Count("daemon.probe.failed", 1)
-	p.silent[h.Name()]++
-	if refusal.Of(err).Ran() == refusal.NotRun || p.silent[h.Name()] >= silentProbes {
-		p.outcome(h, false)
+	p.unanswered[h.Name()]++
+	if refusal.Of(err).Ran() == refusal.NotRun || p.unanswered[h.Name()] >= maxUnansweredProbes {
+		p.recordContact(h, false)
 	}
 }
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -8,15 +8,16 @@
 	"medlaryard.example/medlaryard/settings"
 )
 
-// fatalInvariants is the environment variable with which trial runs make every
-// violated invariant end the daemon.
-const fatalInvariants = "MEDLARYARD_FATAL_INVARIANTS"
+// fatalInvariantsEnv is the environment variable that makes every violated invariant
+// end the daemon. Trial runs set it.
+const fatalInvariantsEnv = "MEDLARYARD_FATAL_INVARIANTS"
 
-// Run serves until ctx ends and the graceful shutdown is done. The error tells
-// why the daemon could not start or which requests it cut off.
+// Run runs a daemon until ctx ends or a listener fails, then shuts it down
+// gracefully. It returns an error if the daemon cannot start, if a listener fails, or
+// if the shutdown aborts requests.
 func Run(ctx context.Context, cfg settings.Settings) error {
-	limitLog()
-	if os.Getenv(fatalInvariants) != "" {
+	limitLogRate()
+	if os.Getenv(fatalInvariantsEnv) != "" {
 		invariant.FatalInTests()
 	}
 	d, err := newDaemon(cfg)
@@ -26,10 +27,10 @@
 	d.start()
 	select {
 	case <-ctx.Done():
-	case err = <-d.failed:
+	case err = <-d.serveErr:
 	}
-	if shut := d.shutdown(); err == nil {
-		err = shut
+	if shutdownErr := d.shutdown(); err == nil {
+		err = shutdownErr
 	}
 	return err
 }
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -17,7 +17,7 @@
 	maxHeaderBytes = 16 << 10
 )
 
-// server is an HTTP server with limits.
+// server is an HTTP server with limits on time and header size.
 type server struct {
 	http *http.Server
 }
@@ -32,7 +32,7 @@
 	}}
 }
 
-// serve returns nil after shutdown.
+// serve accepts connections on l. It returns nil after shutdown.
 func (s *server) serve(l net.Listener) error {
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -40,7 +40,8 @@
 	return nil
 }
 
-// shutdown waits for requests in flight until ctx ends.
+// shutdown stops the listener and waits for requests in flight. When ctx ends, it
+// closes their connections.
 func (s *server) shutdown(ctx context.Context) {
 	if s.http.Shutdown(ctx) != nil {
 		_ = s.http.Close()
--- a/daemon/sharesource.go
+++ b/daemon/sharesource.go
@@ -5,18 +5,18 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// shareSource is the part of the cell that grants shares.
+// shareSource is the subset of the cell that grants shares.
 type shareSource struct {
 	key     func() uint64
 	share   func(catalogue.Group) lease.Share
-	applied func(key uint64)
+	confirm func(key uint64)
 }
 
-// pass hands the shares of groups to apply and reports to the cell that the homes
-// have them. Without the report, a daemon that wakes from a pause would send by
-// its old shares under a new lease. The key is read first, so that shares that
-// change meanwhile do not count as applied.
-func (s shareSource) pass(groups []catalogue.Group, apply func(map[string]lease.Share)) {
+// applyShares passes the shares of groups to apply and then confirms to the cell that
+// the homes have them. Without the confirmation, a daemon that resumes after a pause
+// would send with its old shares under a new lease. The key is read first, so that
+// shares that change in the meantime do not count as applied.
+func (s shareSource) applyShares(groups []catalogue.Group, apply func(map[string]lease.Share)) {
 	key := s.key()
 	shares := make(map[string]lease.Share)
 	for _, g := range groups {
@@ -25,5 +25,5 @@
 		}
 	}
 	apply(shares)
-	s.applied(key)
+	s.confirm(key)
 }
--- a/daemon/sharesource_test.go
+++ b/daemon/sharesource_test.go
@@ -8,9 +8,9 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// Guards against shares that count as applied before the homes have them, and
-// against ones that changed after they were read.
-func TestSharesAreAppliedBeforeTheReport(t *testing.T) {
+// Guards against confirming shares before the homes have them, and against confirming
+// shares that changed after they were read.
+func TestSharesAppliedBeforeConfirmation(t *testing.T) {
 	var steps []string
 	key := uint64(7)
 	source := shareSource{
@@ -20,17 +20,17 @@
 		},
 		share: func(catalogue.Group) lease.Share {
 			steps = append(steps, "share")
-			key = 8 // Another state from now on.
+			key = 8 // The shares change from here on.
 			return lease.Full
 		},
-		applied: func(k uint64) {
+		confirm: func(k uint64) {
 			if k != 7 {
-				t.Errorf("key %d is reported", k)
+				t.Errorf("key %d is confirmed, want 7", k)
 			}
 			steps = append(steps, "applied")
 		},
 	}
-	source.pass(make([]catalogue.Group, 1), func(shares map[string]lease.Share) {
+	source.applyShares(make([]catalogue.Group, 1), func(shares map[string]lease.Share) {
 		if len(shares) != 1 {
 			t.Errorf("shares %v", shares)
 		}
@@ -41,19 +41,19 @@
 	}
 }
 
-// Guards against a refresh that finds nothing changed and does not report, after
-// which the homes may not send any more.
-func TestRefreshReportsShares(t *testing.T) {
+// Guards against a refresh that confirms nothing if no share changed. The homes would
+// have to stop sending.
+func TestRefreshConfirmsUnchangedShares(t *testing.T) {
 	d := &daemon{}
-	reported := 0
+	confirmed := 0
 	d.source = shareSource{
 		key:     func() uint64 { return 1 },
 		share:   func(catalogue.Group) lease.Share { return lease.None },
-		applied: func(uint64) { reported++ },
+		confirm: func(uint64) { confirmed++ },
 	}
 	d.view.Store(&view{})
 	d.refreshShares(false)
-	if reported != 1 {
-		t.Errorf("%d reports", reported)
+	if confirmed != 1 {
+		t.Errorf("%d confirmations, want 1", confirmed)
 	}
 }
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -10,42 +10,44 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// handOverCheck is the time between looks at whether a successor is left.
-const handOverCheck = 100 * time.Millisecond
+// handoffPollInterval is the time between checks for another daemon that can take over
+// the homes.
+const handoffPollInterval = 100 * time.Millisecond
 
-// addressSpread is the time until all daemons have learned from two heartbeats
-// that this one is leaving.
-const addressSpread = time.Second
+// leavePropagationTime is the time until all daemons know that this one is leaving. The
+// information takes two heartbeats.
+const leavePropagationTime = time.Second
 
-// drainCheck is the time between looks at the requests in flight.
-const drainCheck = 10 * time.Millisecond
+// drainPollInterval is the time between checks for requests in flight.
+const drainPollInterval = 10 * time.Millisecond
 
-// shutdown leaves in the order that cuts off no request: callers stop coming,
-// homes are handed over, requests in flight end, listeners close.
+// shutdown stops the daemon in an order that aborts no request: it withdraws its
+// address from callers, hands off its homes, waits for requests in flight and closes
+// the listeners. It returns an error if the shutdown limit aborted requests.
 func (d *daemon) shutdown() error {
 	ctx, cancel := context.WithTimeout(context.Background(), d.cfg.ShutdownLimit())
 	defer cancel()
-	began := d.clk.Boot()
+	start := d.clk.Boot()
 	d.leaving.Store(true)
 	d.refreshView()
-	log.Info().Msg("daemon is leaving")
-	keep := d.cfg.AddressTTL() + addressSpread
-	leave, cancelLeave := context.WithTimeout(ctx, max(0, d.cfg.ShutdownLimit()-2*keep))
+	log.Info().Msg("graceful shutdown started; handing off homes")
+	addressWait := d.cfg.AddressTTL() + leavePropagationTime
+	leaveCtx, cancelLeave := context.WithTimeout(ctx, max(0, d.cfg.ShutdownLimit()-2*addressWait))
 	defer cancelLeave()
-	left := make(chan error, 1)
-	go func() { left <- d.cell.Leave(leave) }()
-	d.awaitHandOver(left)
-	// The other daemons give this address out until they see that it leaves,
-	// and callers keep the answer.
-	_ = clock.Sleep(ctx, d.clk, keep)
+	leaveDone := make(chan error, 1)
+	go func() { leaveDone <- d.cell.Leave(leaveCtx) }()
+	d.awaitHandoff(leaveDone)
+	// The other daemons return this address until they know that this daemon is
+	// leaving, and callers keep it for the address TTL.
+	_ = clock.Sleep(ctx, d.clk, addressWait)
 	d.entry.Leave()
-	// The longest deadline bounds this wait, unless the limit comes first.
-	for d.entry.InFlight() > 0 && clock.Sleep(ctx, d.clk, drainCheck) == nil {
+	// The wait ends with the longest deadline of a request or at the shutdown limit.
+	for d.entry.InFlight() > 0 && clock.Sleep(ctx, d.clk, drainPollInterval) == nil {
 		continue
 	}
-	cut := d.entry.InFlight()
+	aborted := d.entry.InFlight()
 	for _, g := range d.homes.Status() {
-		cut += int64(g.InFlight() + g.Queued())
+		aborted += int64(g.InFlight() + g.Queued())
 	}
 	_ = d.callers.Shutdown(ctx)
 	d.peers.shutdown(ctx)
@@ -66,32 +68,32 @@
 	}
 	d.tasks.Wait()
 	d.client.Close()
-	log.Info().Dur("took", d.clk.Boot()-began).Int64("count", cut).Msg("daemon stopped; count of requests cut off")
-	if ctx.Err() != nil && cut > 0 {
-		return eris.Errorf("shutdown limit of %v cut off %d requests", d.cfg.ShutdownLimit(), cut)
+	log.Info().Dur("took", d.clk.Boot()-start).Int64("count", aborted).Msg("daemon stopped; count is the number of aborted requests")
+	if ctx.Err() != nil && aborted > 0 {
+		return eris.Errorf("shutdown limit of %v reached; %d requests aborted", d.cfg.ShutdownLimit(), aborted)
 	}
 	return nil
 }
 
-// awaitHandOver waits until the homes are handed over. The last daemon of a cell
-// has no successor to wait for.
-func (d *daemon) awaitHandOver(left <-chan error) {
-	t := d.clk.NewTimer(handOverCheck)
+// awaitHandoff waits until another daemon has taken over the homes. It returns early
+// if no other daemon is left in the cell.
+func (d *daemon) awaitHandoff(leaveDone <-chan error) {
+	t := d.clk.NewTimer(handoffPollInterval)
 	defer t.Stop()
 	for {
 		select {
-		case err := <-left:
+		case err := <-leaveDone:
 			if err != nil {
-				log.Warn().Err(err).Msg("homes are not handed over")
+				log.Warn().Err(err).Msg("failed to hand off the homes; continuing the shutdown")
 			}
 			return
 		case <-t.C():
-			// The view leaves out this daemon and others that are leaving.
-			if d.view.Load().addresses.entries() == 0 {
-				log.Info().Msg("no daemon is left to hand homes over to")
+			// The view does not list this daemon or others that are leaving.
+			if d.view.Load().addresses.entryCount() == 0 {
+				log.Info().Msg("no other daemon can take over the homes; continuing the shutdown")
 				return
 			}
-			t.Reset(handOverCheck)
+			t.Reset(handoffPollInterval)
 		}
 	}
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -10,12 +10,12 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// The states of a daemon.
+// The states of a daemon in its status and health check.
 const (
-	serving  = "serving"
-	waiting  = "waiting for a catalogue"
-	leaving  = "leaving"
-	isolated = "isolated"
+	stateServing  = "serving"
+	stateWaiting  = "waiting for a catalogue"
+	stateLeaving  = "leaving"
+	stateIsolated = "isolated"
 )
 
 type statusReply struct {
@@ -34,17 +34,18 @@
 	InFlight    int64     `json:"in_flight"`
 }
 
-// inForce states, for whatever operators ask, what of it is in force.
-type inForce struct {
-	Asked   string    `json:"asked"`
-	InForce string    `json:"in_force"`
-	Since   time.Time `json:"since,omitzero"`
-	WhyNot  string    `json:"why_not,omitempty"`
+// appliedState compares what is requested with what is in force, and gives the reason
+// for a difference.
+type appliedState struct {
+	Requested string    `json:"asked"`
+	InForce   string    `json:"in_force"`
+	Since     time.Time `json:"since,omitzero"`
+	Reason    string    `json:"why_not,omitempty"`
 }
 
 type serviceStatus struct {
 	Name string `json:"name"`
-	inForce
+	appliedState
 	Policy string        `json:"policy"`
 	Moves  []moveStatus  `json:"moves,omitempty"`
 	Groups []groupStatus `json:"groups"`
@@ -65,7 +66,7 @@
 	ID    string `json:"id"`
 	Home  string `json:"home"`
 	Share string `json:"share"`
-	inForce
+	appliedState
 	Snapshots []uint64         `json:"snapshots,omitempty"`
 	Queued    int              `json:"queued"`
 	InFlight  int              `json:"in_flight"`
@@ -85,13 +86,13 @@
 func (d *daemon) state() string {
 	switch {
 	case d.leaving.Load():
-		return leaving
-	case !d.view.Load().known:
-		return waiting
+		return stateLeaving
+	case !d.view.Load().hasCatalogue:
+		return stateWaiting
 	case d.cell.Status().Isolated:
-		return isolated
+		return stateIsolated
 	default:
-		return serving
+		return stateServing
 	}
 }
 
@@ -112,13 +113,13 @@
 	for _, s := range v.estate.Services() {
 		st := serviceStatus{
 			Name: s.Name(), Policy: string(s.Policy()),
-			inForce: inForce{
-				Asked: fmt.Sprintf("generation %d", c.HighestGeneration), InForce: fmt.Sprintf("generation %d", c.InForce),
-				Since: c.InForceSince, WhyNot: c.Refused,
+			appliedState: appliedState{
+				Requested: fmt.Sprintf("generation %d", c.HighestGeneration), InForce: fmt.Sprintf("generation %d", c.InForce),
+				Since: c.InForceSince, Reason: c.Refused,
 			},
 		}
-		if c.HighestGeneration > c.InForce && st.WhyNot == "" {
-			st.WhyNot = "the newer catalogue has not been read yet"
+		if c.HighestGeneration > c.InForce && st.Reason == "" {
+			st.Reason = "the newer catalogue has not been read yet"
 		}
 		st.Moves = d.moveStatus(s.Name())
 		for _, g := range s.Groups() {
@@ -142,29 +143,29 @@
 	return list
 }
 
-// groupStatus describes a group as this daemon sees it. Searchers are listed by
-// daemons that have a share of the group.
+// groupStatus returns the status of a group from this daemon's view. Queues, snapshots
+// and searchers are set only if the daemon has a share of the group.
 func (d *daemon) groupStatus(v *view, g catalogue.Group, homes map[string]home.GroupStatus) groupStatus {
 	share, since := d.shares.get(g.ID())
 	st := groupStatus{ID: g.ID(), Share: share.String()}
-	st.Asked, st.InForce, st.Since = lease.None.String(), share.String(), since.UTC()
+	st.Requested, st.InForce, st.Since = lease.None.String(), share.String(), since.UTC()
 	if since.IsZero() {
 		st.Since = time.Time{}
 	}
-	if order := v.homes[g.ID()]; len(order) > 0 {
+	if order := v.preferenceLists[g.ID()]; len(order) > 0 {
 		st.Home = order[0].Name()
 		if order[0].Self() {
-			st.Asked = lease.Full.String()
+			st.Requested = lease.Full.String()
 		} else if share == lease.Acting {
-			st.Asked = lease.Acting.String()
+			st.Requested = lease.Acting.String()
 		}
 	} else {
-		st.WhyNot = "no membership names a home"
+		st.Reason = "the membership has no home for the group"
 	}
-	if st.Asked == lease.Full.String() && share != lease.Full {
-		st.WhyNot = "the previous home has not confirmed that it stopped"
+	if st.Requested == lease.Full.String() && share != lease.Full {
+		st.Reason = "the previous home has not confirmed that it stopped"
 		if share == lease.None {
-			st.WhyNot = "the home lease has ended"
+			st.Reason = "the home lease has expired"
 		}
 	}
 	h, ok := homes[g.ID()]
--- a/daemon/strikebroadcast.go
+++ b/daemon/strikebroadcast.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// strikeQueue bounds the strikes that wait to be told.
-	strikeQueue = 1024
-	// strikeTimeout bounds one call.
+	// strikeQueueLength is the maximum number of queued broadcasts.
+	strikeQueueLength = 1024
+	// strikeTimeout is the timeout of one broadcast.
 	strikeTimeout = time.Second
-	// repeatInterval is the time between repetitions for daemons that missed a
-	// strike or have started since.
+	// repeatInterval is the time between repeated broadcasts. They reach daemons that
+	// missed a strike or started after it.
 	repeatInterval = 10 * time.Second
-	// repeatStrikes bounds a repetition, about 5 KB.
-	repeatStrikes = 256
+	// maxRepeatedStrikes is the maximum number of strikes in a repeated broadcast,
+	// about 5 KB.
+	maxRepeatedStrikes = 256
 )
 
-// strikeBroadcast tells the other daemons of the cell about crashes.
+// strikeBroadcast sends crash strikes to the other daemons of the cell.
 type strikeBroadcast struct {
 	client *peer.Client
 	others func() []entry.Home
@@ -33,44 +34,45 @@
 }
 
 func newStrikeBroadcast(client *peer.Client, others func() []entry.Home) *strikeBroadcast {
-	return &strikeBroadcast{client: client, others: others, queue: make(chan []*peerpb.CrashStrike, strikeQueue)}
+	return &strikeBroadcast{client: client, others: others, queue: make(chan []*peerpb.CrashStrike, strikeQueueLength)}
 }
 
-// tell queues strikes. It never blocks; what does not fit is repeated later.
-func (h *strikeBroadcast) tell(strikes []*peerpb.CrashStrike) {
+// enqueue queues strikes without blocking. If the queue is full, they are sent with a
+// later repeated broadcast.
+func (b *strikeBroadcast) enqueue(strikes []*peerpb.CrashStrike) {
 	select {
-	case h.queue <- strikes:
+	case b.queue <- strikes:
 	default:
 		meter.Count("daemon.strike.deferred", 1)
 	}
 }
 
-func (h *strikeBroadcast) run(ctx context.Context, clk clock.Clock, s *admission.Suspects) {
+func (b *strikeBroadcast) run(ctx context.Context, clk clock.Clock, s *admission.Suspects) {
 	t := clk.NewTimer(repeatInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case strikes := <-h.queue:
-			h.send(ctx, strikes)
+		case strikes := <-b.queue:
+			b.send(ctx, strikes)
 		case <-t.C():
 			t.Reset(repeatInterval)
-			if strikes := s.CrashReports(repeatStrikes); len(strikes) > 0 {
-				h.send(ctx, strikes)
+			if strikes := s.CrashReports(maxRepeatedStrikes); len(strikes) > 0 {
+				b.send(ctx, strikes)
 			}
 		}
 	}
 }
 
-// send calls all daemons at once and waits for them.
-func (h *strikeBroadcast) send(ctx context.Context, strikes []*peerpb.CrashStrike) {
+// send calls all other daemons concurrently and waits for the calls to end.
+func (b *strikeBroadcast) send(ctx context.Context, strikes []*peerpb.CrashStrike) {
 	ctx, cancel := context.WithTimeout(ctx, strikeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, other := range h.others() {
+	for _, other := range b.others() {
 		wg.Go(func() {
-			if _, err := h.client.Strike(ctx, other.PeerAddress(), &peerpb.StrikeRequest{Strikes: strikes}); err != nil {
+			if _, err := b.client.Strike(ctx, other.PeerAddress(), &peerpb.StrikeRequest{Strikes: strikes}); err != nil {
 				meter.Count("daemon.strike.failed", 1)
 			}
 		})
@@ -78,4 +80,6 @@
 	wg.Wait()
 }
 
+// microseconds converts a count of microseconds to a duration. A negative count
+// becomes 0.
 func microseconds(n int64) time.Duration { return time.Duration(max(0, n)) * time.Microsecond }
--- a/daemon/view.go
+++ b/daemon/view.go
@@ -10,21 +10,23 @@
 	"medlaryard.example/medlaryard/lease"
 )
 
-// refreshInterval bounds the time until a lease that ended by itself is seen in
-// status. Sends check the lease themselves.
+// refreshInterval is the maximum time until the status shows that a lease expired.
+// Each send checks the lease itself.
 const refreshInterval = 250 * time.Millisecond
 
-// view is what queries read: one state of catalogue and membership, without locks.
+// view is an immutable snapshot of catalogue and membership, which queries read
+// without locks.
 type view struct {
-	estate    catalogue.Estate
-	known     bool // A catalogue is in force.
-	groups    []catalogue.Group
-	homes     map[string][]entry.Home
-	members   map[string]entry.Home // By incarnation.
-	addresses addressBook
+	estate          catalogue.Estate
+	hasCatalogue    bool // A catalogue is in force.
+	groups          []catalogue.Group
+	preferenceLists map[string][]entry.Home
+	members         map[string]entry.Home // By incarnation.
+	addresses       addressBook
 }
 
-// refreshLoop follows the cell.
+// refreshLoop updates view, shares and conditions when the cell changes, and shares
+// and conditions every refreshInterval.
 func (d *daemon) refreshLoop() {
 	t := time.NewTicker(refreshInterval)
 	defer t.Stop()
@@ -43,17 +45,18 @@
 	}
 }
 
-// refreshView is called by the loop and by the shutdown; a view built before the
-// daemon began to leave must not replace a later one.
+// refreshView rebuilds the view. Both refreshLoop and shutdown call it; the lock
+// prevents a view that was built before the daemon began to leave from replacing a
+// later one.
 func (d *daemon) refreshView() {
 	d.viewMu.Lock()
 	defer d.viewMu.Unlock()
-	v := &view{homes: make(map[string][]entry.Home), members: make(map[string]entry.Home)}
-	v.estate, v.known = d.cell.Estate()
-	homes := make(map[string]entry.Home)
+	v := &view{preferenceLists: make(map[string][]entry.Home), members: make(map[string]entry.Home)}
+	v.estate, v.hasCatalogue = d.cell.Estate()
+	homesByName := make(map[string]entry.Home)
 	for _, m := range d.cell.Members() {
-		h := d.homeOf(m)
-		homes[m.Name()] = h
+		h := d.newHome(m)
+		homesByName[m.Name()] = h
 		v.members[m.Incarnation()] = h
 		self := m.Incarnation() == d.incarnation
 		if !m.Leaving() && (!self || !d.leaving.Load()) {
@@ -67,31 +70,31 @@
 			order := d.cell.PreferenceList(g)
 			list := make([]entry.Home, 0, len(order))
 			for _, m := range order {
-				h, ok := homes[m.Name()]
+				h, ok := homesByName[m.Name()]
 				if !ok {
-					h = d.homeOf(m)
+					h = d.newHome(m)
 				}
 				list = append(list, h)
 			}
-			v.homes[g.ID()] = list
+			v.preferenceLists[g.ID()] = list
 		}
 	}
 	d.view.Store(v)
 }
 
-func (d *daemon) homeOf(m cell.Member) entry.Home {
+func (d *daemon) newHome(m cell.Member) entry.Home {
 	return entry.NewHome(entry.HomeSpec{
 		Name: m.Name(), Incarnation: m.Incarnation(), PeerAddress: m.PeerAddress(),
 		Self: m.Incarnation() == d.incarnation,
 	})
 }
 
-// refreshShares applies the shares of this daemon to its homes when one changed
-// or apply is set.
-func (d *daemon) refreshShares(apply bool) {
+// refreshShares applies the shares of this daemon to its homes if one changed or force
+// is set.
+func (d *daemon) refreshShares(force bool) {
 	v := d.view.Load()
-	d.source.pass(v.groups, func(shares map[string]lease.Share) {
-		if d.shares.set(shares, time.Now()) || apply {
+	d.source.applyShares(v.groups, func(shares map[string]lease.Share) {
+		if d.shares.set(shares, time.Now()) || force {
 			d.homes.Apply(home.NewAssignment(home.AssignmentSpec{Estate: v.estate, Shares: shares}))
 		}
 	})
