--- a/settings/decode.go
+++ b/settings/decode.go
@@ -10,25 +10,26 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// maxFile is far above the size of a file with every setting, in bytes.
-const maxFile = 64 * kib
+// maxFileBytes is the maximum size of a settings file. A file with every setting is
+// far smaller.
+const maxFileBytes = 64 * kib
 
-// Load reads the settings file at path and the key files that it names. A
-// faulty file gives a *syntax.Problems.
+// Load reads the settings file at path and the key files that it names. If the
+// settings are invalid, the error is a *syntax.Problems.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, eris.Wrap(err, "read settings")
+		return Settings{}, eris.Wrap(err, "read the settings file")
 	}
 	return Decode(path, text, os.ReadFile)
 }
 
-// Decode reads the text of a settings file; name stands in positions and
-// readFile reads key files. The error is a *syntax.Problems.
+// Decode parses the text of a settings file. Positions in errors use name as the file
+// name, and readFile reads the key files. The error is a *syntax.Problems.
 func Decode(name string, text []byte, readFile func(string) ([]byte, error)) (Settings, error) {
 	ps := &syntax.Problems{}
 	start := syntax.NewPosition(name, 1, 1)
-	if len(text) > maxFile {
+	if len(text) > maxFileBytes {
 		ps.Add(syntax.NewProblem(start, "", "at most 64 KiB of settings", "a longer file"))
 		return Settings{}, ps.Err()
 	}
@@ -42,11 +43,11 @@
 		root = docs[0]
 	}
 	if len(docs) > 1 {
-		ps.AddAt(docs[1], "one YAML document", "a second one")
+		ps.AddAt(docs[1], "one YAML document", "a second document")
 	}
 	d := newDecoder(root, ps)
 	spec := d.decode()
-	d.check(&spec, readFile)
+	d.validate(&spec, readFile)
 	if err := ps.Err(); err != nil {
 		return Settings{}, err
 	}
@@ -93,13 +94,14 @@
 	return m
 }
 
-// check sets derived defaults and finds values that do not fit together.
-func (d *decoder) check(spec *Spec, readFile func(string) ([]byte, error)) {
-	d.advertise("caller", spec.CallerListen, &spec.CallerAdvertise)
-	d.advertise("peer", spec.PeerListen, &spec.PeerAdvertise)
-	d.distinct("peer", spec.PeerListen, "caller.listen", spec.CallerListen)
-	d.distinct("operator", spec.OperatorListen, "caller.listen", spec.CallerListen)
-	d.distinct("operator", spec.OperatorListen, "peer.listen", spec.PeerListen)
+// validate sets derived defaults, reads the key files and reports values that
+// contradict each other.
+func (d *decoder) validate(spec *Spec, readFile func(string) ([]byte, error)) {
+	d.setAdvertised("caller", spec.CallerListen, &spec.CallerAdvertise)
+	d.setAdvertised("peer", spec.PeerListen, &spec.PeerAdvertise)
+	d.checkDistinct("peer", spec.PeerListen, "caller.listen", spec.CallerListen)
+	d.checkDistinct("operator", spec.OperatorListen, "caller.listen", spec.CallerListen)
+	d.checkDistinct("operator", spec.OperatorListen, "peer.listen", spec.PeerListen)
 	if spec.ShutdownLimit <= spec.AddressTTL {
 		n := d.root.Get("shutdown_limit")
 		if n == nil {
@@ -107,12 +109,13 @@
 		}
 		d.problems.AddAt(n, "a shutdown_limit longer than address_ttl", spec.ShutdownLimit.String()+" and "+spec.AddressTTL.String())
 	}
-	spec.PeerKey = d.key("peer", spec.PeerKeyFile, readFile)
-	spec.OperatorKey = d.key("operator", spec.OperatorKeyFile, readFile)
+	spec.PeerKey = d.readKeyFile("peer", spec.PeerKeyFile, readFile)
+	spec.OperatorKey = d.readKeyFile("operator", spec.OperatorKeyFile, readFile)
 }
 
-// advertise sets the advertised address, which others must be able to connect to.
-func (d *decoder) advertise(section, listen string, advertise *string) {
+// setAdvertised sets the advertised address to the listen address if it is empty. It
+// reports an unspecified address, because others cannot connect to it.
+func (d *decoder) setAdvertised(section, listen string, advertise *string) {
 	key := "advertise"
 	if *advertise == "" {
 		*advertise, key = listen, "listen"
@@ -123,26 +126,29 @@
 	}
 }
 
-func (d *decoder) distinct(section, address, otherPath, other string) {
+// checkDistinct reports a listener whose address equals that of the listener at
+// otherPath.
+func (d *decoder) checkDistinct(section, address, otherPath, other string) {
 	if n := d.sections[section].Get("listen"); n != nil && address != "" && address == other {
 		d.problems.AddAt(n, "an address other than "+otherPath, n.Found())
 	}
 }
 
-// key reads a shared key. Shorter keys than 16 characters can be guessed.
-func (d *decoder) key(section, file string, readFile func(string) ([]byte, error)) string {
+// readKeyFile reads a shared key. It rejects keys of less than 16 characters because
+// they can be guessed.
+func (d *decoder) readKeyFile(section, file string, readFile func(string) ([]byte, error)) string {
 	if file == "" {
 		return ""
 	}
 	n := d.sections[section].Get("key_file")
 	text, err := readFile(file)
 	if err != nil {
-		d.problems.AddAt(n, path.Expected(), err.Error())
+		d.problems.AddAt(n, keyFileType.Expected(), err.Error())
 		return ""
 	}
 	key := strings.TrimSpace(string(text))
 	if len(key) < 16 || len(key) > 256 || strings.ContainsAny(key, "\r\n") {
-		d.problems.AddAt(n, path.Expected(), "a key of another form")
+		d.problems.AddAt(n, keyFileType.Expected(), "a key of another length or with a line break")
 	}
 	return key
 }
--- a/settings/decode_test.go
+++ b/settings/decode_test.go
@@ -29,7 +29,7 @@
 	return nil, os.ErrNotExist
 }
 
-// Guards against a default that differs from the table.
+// Guards against a default that is not applied or differs from the documented one.
 func TestDecodeFillsDefaults(t *testing.T) {
 	got, err := settings.Decode("f", []byte(minimal), readKey)
 	if err != nil {
@@ -44,11 +44,11 @@
 		t.Error(d)
 	}
 	if got.AddressTTL() != 5*time.Second || got.ShutdownLimit() != time.Minute || got.OnceWindow() != 10*time.Minute || got.Cell() != "main" {
-		t.Errorf("defaults %v, %v, %v, %q differ from the design", got.AddressTTL(), got.ShutdownLimit(), got.OnceWindow(), got.Cell())
+		t.Errorf("defaults address_ttl %v, shutdown_limit %v, once.window %v, cell %q; want 5s, 1m0s, 10m0s, \"main\"", got.AddressTTL(), got.ShutdownLimit(), got.OnceWindow(), got.Cell())
 	}
 }
 
-// Guards against a setting that is read into the wrong field or not at all.
+// Guards against a setting that is decoded into the wrong field or ignored.
 func TestDecodeReadsEverySetting(t *testing.T) {
 	text := `name: n
 region: r
@@ -93,7 +93,8 @@
 	}
 }
 
-// Guards against a daemon that starts with a setting it did not understand.
+// Guards against accepting an invalid setting, and against errors without the file,
+// the position and the expected value.
 func TestDecodeFaults(t *testing.T) {
 	tests := []struct{ name, old, new, want string }{
 		{"unknown key", "region: r", "region: r\nregoin: r", "f:3:1: regoin: expected one of the keys address_ttl"},
@@ -114,7 +115,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if !strings.Contains(minimal, tt.old) {
-				t.Fatalf("the valid text has no %q", tt.old)
+				t.Fatalf("the valid settings do not contain %q", tt.old)
 			}
 			_, err := settings.Decode("f", []byte(strings.Replace(minimal, tt.old, tt.new, 1)), readKey)
 			var ps *syntax.Problems
@@ -125,8 +126,8 @@
 	}
 }
 
-// Guards against settings that make the decoder panic or that pass with a
-// listener missing. The seeds run with the other tests.
+// Guards against settings that make the decoder panic, and against accepting settings
+// without a required address. The seed corpus runs with the other tests.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(minimal))
 	f.Add([]byte(""))
@@ -136,7 +137,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := settings.Decode("f", text, readKey)
 		if err == nil && (s.Name() == "" || s.CallerAdvertise() == "" || s.PeerAdvertise() == "" || s.OperatorListen() == "" || s.StoreAddress() == "") {
-			t.Errorf("accepted without an address: %q", text)
+			t.Errorf("settings without a name or a required address are accepted: %q", text)
 		}
 	})
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,4 @@
-// Package settings reads the YAML settings of one daemon. One table holds the
-// default, unit and range of every setting; docs/settings.md is generated from it.
+// Package settings reads the YAML settings file of one daemon. A table holds the
+// default, unit, range and help text of every setting. Package reference generates
+// docs/settings.md from it.
 package settings
--- a/settings/setting.go
+++ b/settings/setting.go
@@ -7,34 +7,35 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Setting is one row of the table: a key of the settings file with its
-// default, unit and range.
+// Setting describes a key of the settings file: its default, unit and range, and how
+// it is decoded.
 type Setting struct {
-	path     string
-	unit     string
-	expected string
-	fallback string
-	help     string
-	reset    func(*Spec)
-	read     func(m *syntax.Mapping, key string, spec *Spec)
+	path        string
+	unit        string
+	expected    string
+	defaultText string
+	help        string
+	setDefault  func(*Spec)
+	read        func(m *syntax.Mapping, key string, spec *Spec)
 }
 
-// Path is the key, with its section before a dot.
+// Path is the key, preceded by its section and a dot if it is in a section.
 func (s Setting) Path() string { return s.path }
 
-// Unit is the unit of the value, or its form where it has none.
+// Unit is the unit of the value, or its type if it has no unit.
 func (s Setting) Unit() string { return s.unit }
 
-// Expected describes the accepted values with their range.
+// Expected describes the accepted values and their range.
 func (s Setting) Expected() string { return s.expected }
 
-// Default is the value of a key that is left out, in words.
-func (s Setting) Default() string { return s.fallback }
+// Default describes the default value, or is "required" for a setting without one.
+func (s Setting) Default() string { return s.defaultText }
 
-// Help states what the setting does.
+// Help describes the setting.
 func (s Setting) Help() string { return s.help }
 
-// section splits the path; the section of a top-level key is empty.
+// section splits the path into section and key. The section of a top-level key is
+// empty.
 func (s Setting) section() (section, key string) {
 	if i := strings.IndexByte(s.path, '.'); i >= 0 {
 		return s.path[:i], s.path[i+1:]
@@ -42,31 +43,32 @@
 	return "", s.path
 }
 
-// required is a setting without a default.
-func required[T any](path, unit string, t syntax.Type[T], at func(*Spec) *T, help string) Setting {
+// required returns a setting without a default.
+func required[T any](path, unit string, t syntax.Type[T], field func(*Spec) *T, help string) Setting {
 	return Setting{
-		path: path, unit: unit, expected: t.Expected(), fallback: "required", help: help,
-		reset: func(*Spec) {},
+		path: path, unit: unit, expected: t.Expected(), defaultText: "required", help: help,
+		setDefault: func(*Spec) {},
 		read: func(m *syntax.Mapping, key string, spec *Spec) {
-			*at(spec) = syntax.Required(m, key, t)
+			*field(spec) = syntax.Required(m, key, t)
 		},
 	}
 }
 
-// optional is a setting with a default value.
-func optional[T any](path, unit string, t syntax.Type[T], fallback T, at func(*Spec) *T, help string) Setting {
+// optional returns a setting with a default value.
+func optional[T any](path, unit string, t syntax.Type[T], defaultValue T, field func(*Spec) *T, help string) Setting {
 	return Setting{
-		path: path, unit: unit, expected: t.Expected(), fallback: fmt.Sprint(fallback), help: help,
-		reset: func(spec *Spec) { *at(spec) = fallback },
+		path: path, unit: unit, expected: t.Expected(), defaultText: fmt.Sprint(defaultValue), help: help,
+		setDefault: func(spec *Spec) { *field(spec) = defaultValue },
 		read: func(m *syntax.Mapping, key string, spec *Spec) {
-			*at(spec) = syntax.Optional(m, key, t, fallback)
+			*field(spec) = syntax.Optional(m, key, t, defaultValue)
 		},
 	}
 }
 
-// derived is a text setting whose default is described in words and set later.
-func derived(path, unit string, t syntax.Type[string], fallback string, at func(*Spec) *string, help string) Setting {
-	s := optional(path, unit, t, "", at, help)
-	s.fallback = fallback
+// derived returns a text setting that is empty by default; defaultText describes what
+// the empty value means.
+func derived(path, unit string, t syntax.Type[string], defaultText string, field func(*Spec) *string, help string) Setting {
+	s := optional(path, unit, t, "", field, help)
+	s.defaultText = defaultText
 	return s
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Settings are the settings of one daemon. Values are immutable.
+// Settings holds the settings of one daemon. It is immutable.
 type Settings struct {
 	spec Spec
 }
 
-// New returns the immutable Settings that spec describes.
+// New returns the Settings with the values of spec.
 func New(spec Spec) Settings { return Settings{spec: spec} }
 
 // Name is the name of the daemon's VM in the VM list.
@@ -40,56 +40,59 @@
 // StoreAddress is the address of the object store.
 func (s Settings) StoreAddress() string { return s.spec.StoreAddress }
 
-// StoreTimeout bounds one call to the store.
+// StoreTimeout is the timeout of one call to the store.
 func (s Settings) StoreTimeout() time.Duration { return s.spec.StoreTimeout }
 
 // StoreWatchWait is the time after which a pending watch is renewed.
 func (s Settings) StoreWatchWait() time.Duration { return s.spec.StoreWatchWait }
 
-// VMListAddress is the address of the VM list; empty uses none.
+// VMListAddress is the address of the VM list, or empty for no VM list.
 func (s Settings) VMListAddress() string { return s.spec.VMListAddress }
 
-// VMListInterval is the pause between two readings of the VM list.
+// VMListInterval is the time between polls of the VM list.
 func (s Settings) VMListInterval() time.Duration { return s.spec.VMListInterval }
 
-// Peers are advertised peer addresses to start from.
+// Peers lists advertised peer addresses of some daemons of the cell. A daemon that
+// starts during an outage of the store gets configuration and membership from them.
 func (s Settings) Peers() []string { return s.spec.Peers }
 
-// PeerKeyFile is the path of the key that all daemons share; empty uses none.
+// PeerKeyFile is the path of the file with the key that all daemons share, or empty
+// for no key.
 func (s Settings) PeerKeyFile() string { return s.spec.PeerKeyFile }
 
-// PeerKey is the content of PeerKeyFile.
+// PeerKey is the key in PeerKeyFile, without surrounding white space.
 func (s Settings) PeerKey() string { return s.spec.PeerKey }
 
-// PeerConnections bounds the connections to one other daemon.
+// PeerConnections is the maximum number of connections to each other daemon.
 func (s Settings) PeerConnections() int { return s.spec.PeerConnections }
 
-// PeerMessageBytes bounds one message between daemons.
+// PeerMessageBytes is the maximum size of a message between daemons, in bytes.
 func (s Settings) PeerMessageBytes() int { return s.spec.PeerMessageBytes }
 
-// OperatorKeyFile is the path of the key that operators send; empty uses none.
+// OperatorKeyFile is the path of the file with the key that operators send, or empty
+// for no key.
 func (s Settings) OperatorKeyFile() string { return s.spec.OperatorKeyFile }
 
-// OperatorKey is the content of OperatorKeyFile.
+// OperatorKey is the key in OperatorKeyFile, without surrounding white space.
 func (s Settings) OperatorKey() string { return s.spec.OperatorKey }
 
-// AddressTTL is how long callers keep an address answer.
+// AddressTTL is how long callers may use an address answer.
 func (s Settings) AddressTTL() time.Duration { return s.spec.AddressTTL }
 
-// ShutdownLimit ends a graceful shutdown that has not finished.
+// ShutdownLimit is the maximum duration of a graceful shutdown.
 func (s Settings) ShutdownLimit() time.Duration { return s.spec.ShutdownLimit }
 
 // OnceWindow is how long outcomes of non-idempotent requests are kept.
 func (s Settings) OnceWindow() time.Duration { return s.spec.OnceWindow }
 
-// OnceRecords bounds the table of outcomes.
+// OnceRecords is the maximum number of outcomes kept.
 func (s Settings) OnceRecords() int { return s.spec.OnceRecords }
 
-// OnceBytes bounds the bodies in the table of outcomes.
+// OnceBytes is the maximum total size of the bodies of outcomes kept, in bytes.
 func (s Settings) OnceBytes() int { return s.spec.OnceBytes }
 
-// SearcherReplyBytes bounds one reply of a searcher.
+// SearcherReplyBytes is the maximum size of a reply of a searcher, in bytes.
 func (s Settings) SearcherReplyBytes() int { return s.spec.SearcherReplyBytes }
 
-// LogLevel is the lowest level that is logged.
+// LogLevel is the lowest level of the log lines that the daemon writes.
 func (s Settings) LogLevel() LogLevel { return s.spec.LogLevel }
--- a/settings/spec.go
+++ b/settings/spec.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Spec holds the values that New takes. Default returns one with all defaults.
+// Spec holds the values of all settings, for New. Default returns a Spec with all
+// defaults.
 type Spec struct {
 	// Name is the name of the daemon's VM in the VM list.
 	Name string
@@ -26,47 +27,50 @@
 
 	// StoreAddress is the address of the object store.
 	StoreAddress string
-	// StoreTimeout bounds one call to the store.
+	// StoreTimeout is the timeout of one call to the store.
 	StoreTimeout time.Duration
 	// StoreWatchWait is the time after which a pending watch is renewed.
 	StoreWatchWait time.Duration
 
-	// VMListAddress is the address of the VM list; empty uses none.
+	// VMListAddress is the address of the VM list, or empty for no VM list.
 	VMListAddress string
-	// VMListInterval is the pause between two readings of the VM list.
+	// VMListInterval is the time between polls of the VM list.
 	VMListInterval time.Duration
 
-	// Peers are advertised peer addresses to start from.
+	// Peers lists advertised peer addresses of some daemons of the cell. A daemon that
+	// starts during an outage of the store gets configuration and membership from them.
 	Peers []string
-	// PeerKeyFile is the path of the key that all daemons share; empty uses none.
+	// PeerKeyFile is the path of the file with the key that all daemons share, or empty
+	// for no key.
 	PeerKeyFile string
-	// PeerKey is the content of PeerKeyFile.
+	// PeerKey is the key in PeerKeyFile, without surrounding white space.
 	PeerKey string
-	// PeerConnections bounds the connections to one other daemon.
+	// PeerConnections is the maximum number of connections to each other daemon.
 	PeerConnections int
-	// PeerMessageBytes bounds one message between daemons.
+	// PeerMessageBytes is the maximum size of a message between daemons, in bytes.
 	PeerMessageBytes int
 
-	// OperatorKeyFile is the path of the key that operators send; empty uses none.
+	// OperatorKeyFile is the path of the file with the key that operators send, or empty
+	// for no key.
 	OperatorKeyFile string
-	// OperatorKey is the content of OperatorKeyFile.
+	// OperatorKey is the key in OperatorKeyFile, without surrounding white space.
 	OperatorKey string
 
-	// AddressTTL is how long callers keep an address answer.
+	// AddressTTL is how long callers may use an address answer.
 	AddressTTL time.Duration
-	// ShutdownLimit ends a graceful shutdown that has not finished.
+	// ShutdownLimit is the maximum duration of a graceful shutdown.
 	ShutdownLimit time.Duration
 
 	// OnceWindow is how long outcomes of non-idempotent requests are kept.
 	OnceWindow time.Duration
-	// OnceRecords bounds the table of outcomes.
+	// OnceRecords is the maximum number of outcomes kept.
 	OnceRecords int
-	// OnceBytes bounds the bodies in the table of outcomes.
+	// OnceBytes is the maximum total size of the bodies of outcomes kept, in bytes.
 	OnceBytes int
 
-	// SearcherReplyBytes bounds one reply of a searcher.
+	// SearcherReplyBytes is the maximum size of a reply of a searcher, in bytes.
 	SearcherReplyBytes int
 
-	// LogLevel is the lowest level that is logged.
+	// LogLevel is the lowest level of the log lines that the daemon writes.
 	LogLevel LogLevel
 }
