--- a/reference/errors.go
+++ b/reference/errors.go
@@ -17,17 +17,17 @@
 
 <!-- Generated from the table in package refusal. Change it there and run: go test ./reference -update -->
 
-A request that gets no answer gets a refusal: the HTTP status of this table and the JSON body ` + "`{\"id\",\"kind\",\"ran\",\"retry\",\"detail\"}`" + `. The list of kinds is closed.
+A request that is not answered gets a refusal: the HTTP status of this table and the JSON body ` + "`{\"id\",\"kind\",\"ran\",\"retry\",\"detail\"}`" + `. The list of kinds is closed.
 
-` + "`ran`" + ` states whether the request ran on a searcher. The table gives what the kind alone proves; a refusal can state more where more is known. "no" is a promise: the request did not run and will not run.
+` + "`ran`" + ` states whether the request ran on a searcher. The table gives what the kind alone states; a refusal can state more if more is known. "no" is a promise: the request did not run and will not run.
 
-` + "`retry`" + ` is advice for sending the request again:
+` + "`retry`" + ` is advice on sending the request again:
 
 - ` + "`never`" + `: the same request is refused again.
-- ` + "`later`" + `: after a pause, at any address.
-- ` + "`else`" + `: at once, at another address.
-- ` + "`address`" + `: after asking for addresses again.
-- ` + "`confirm`" + `: only after the caller has found out whether it ran. An idempotent request can be sent again at once.
+- ` + "`later`" + `: after a delay, to any address.
+- ` + "`else`" + `: at once, to another address.
+- ` + "`address`" + `: after requesting the addresses again.
+- ` + "`confirm`" + `: only after the caller has determined whether it ran. An idempotent request can be sent again at once.
 
 | Kind | Status | Ran | Retry | Meaning |
 |---|---|---|---|---|
--- a/refusal/answer.go
+++ b/refusal/answer.go
@@ -1,18 +1,18 @@
 package refusal
 
-// Retry is the advice to a caller about sending a refused request again.
+// Retry advises a caller on sending a refused request again.
 type Retry string
 
 // The values of Retry.
 const (
 	RetryNever   Retry = "never"   // The same request is refused again.
-	RetryLater   Retry = "later"   // After a pause, at any address.
-	RetryElse    Retry = "else"    // At once, at another address.
-	RetryAddress Retry = "address" // After asking for addresses again.
-	RetryConfirm Retry = "confirm" // Only after the caller has found out whether it ran.
+	RetryLater   Retry = "later"   // After a delay, to any address.
+	RetryElse    Retry = "else"    // At once, to another address.
+	RetryAddress Retry = "address" // After requesting the addresses again.
+	RetryConfirm Retry = "confirm" // Only after the caller has determined whether it ran.
 )
 
-// Answer is what a caller receives for a Kind.
+// Answer is the part of a refusal that a Kind determines.
 type Answer struct {
 	kind   Kind
 	status int
@@ -26,7 +26,7 @@
 // Status returns the HTTP status.
 func (a Answer) Status() int { return a.status }
 
-// Ran returns what the kind alone proves about the request having run.
+// Ran returns what the kind alone states about whether the request ran.
 func (a Answer) Ran() Ran { return a.ran }
 
 // Retry returns the advice on sending the request again.
@@ -61,11 +61,11 @@
 	{Internal, 500, Unknown, RetryConfirm},
 }
 
-// Table returns one Answer for each Kind but None.
+// Table returns one Answer for each Kind except None.
 func Table() []Answer { return append([]Answer(nil), table...) }
 
-// For returns the Answer of kind. A kind that is not in the list, such as one
-// from a newer peer, is answered as Internal.
+// For returns the Answer of kind. For a kind that is not in the table, such as one
+// from a newer daemon, it returns the Answer of Internal.
 func For(kind Kind) Answer {
 	for _, a := range table {
 		if a.kind == kind {
--- a/refusal/answer_test.go
+++ b/refusal/answer_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Guards against a kind that is declared but has no answer, or has two.
+// Guards against a declared kind with no answer or with several.
 func TestEveryKindHasOneAnswer(t *testing.T) {
 	rows := make(map[Kind]int)
 	for _, a := range Table() {
@@ -18,11 +18,12 @@
 			continue
 		}
 		if rows[Kind(kind)] != 1 {
-			t.Errorf("%s has %d rows in the table", name, rows[Kind(kind)])
+			t.Errorf("%s has %d rows in the table, want 1", name, rows[Kind(kind)])
 		}
 	}
 }
 
+// declaredKinds returns the kinds declared in kind.go by the names of their constants.
 func declaredKinds(t *testing.T) map[string]string {
 	t.Helper()
 	f, err := parser.ParseFile(token.NewFileSet(), "kind.go", nil, 0)
--- a/refusal/error.go
+++ b/refusal/error.go
@@ -12,13 +12,14 @@
 	detail string
 }
 
-// New returns an Error of kind with the table's statement about having run.
+// New returns an Error of kind with the formatted detail and the Ran of the kind's
+// Answer.
 func New(kind Kind, format string, args ...any) *Error {
 	return &Error{kind: kind, ran: For(kind).Ran(), detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRan returns a copy of e for a request whose fate is known better than
-// its kind alone tells.
+// WithRan returns a copy of e with ran, for a caller that knows more about the request
+// than its kind states.
 func (e *Error) WithRan(ran Ran) *Error {
 	return &Error{kind: e.kind, ran: ran, detail: e.detail}
 }
@@ -26,16 +27,16 @@
 // Kind returns the kind of the refusal.
 func (e *Error) Kind() Kind { return e.kind }
 
-// Ran states whether the request ran.
+// Ran returns whether the request ran.
 func (e *Error) Ran() Ran { return e.ran }
 
-// Detail explains the refusal to a person.
+// Detail returns an explanation of the refusal for people.
 func (e *Error) Detail() string { return e.detail }
 
-// Error returns kind and detail.
+// Error returns the kind and the detail.
 func (e *Error) Error() string { return string(e.kind) + ": " + e.detail }
 
-// Of finds the Error in err's chain; any other error is Internal.
+// Of returns the Error in err's chain, or an Error of kind Internal if there is none.
 func Of(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
