--- a/reference/capacity.go
+++ b/reference/capacity.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// cellSizes are the numbers of daemons in a cell that the page compares. Each
-// has whole rows of searchers.
+// cellSizes lists the numbers of daemons in a cell that the page compares. With each
+// of them, a cell has a whole number of rows of searchers.
 var cellSizes = []float64{7, 14, 28, 56}
 
-// chosenCell is the number of daemons in a cell that the other tables use.
-const chosenCell = 14.0
+// daemonsPerCell is the number of daemons in a cell in the other tables.
+const daemonsPerCell = 14.0
 
 const capacityHead = `# Capacity
 
@@ -39,26 +39,26 @@
 - **Health requests** count as control here and exceed the traffic limit by themselves where the table says so.
 `
 
-// Capacity returns docs/CAPACITY.md.
+// Capacity returns the text of docs/CAPACITY.md.
 func Capacity() string {
 	var b strings.Builder
 	b.WriteString(capacityHead)
-	writeCells(&b, twoYears)
-	writeControl(&b, twoYears)
-	writeStore(&b, twoYears)
+	writeCells(&b, targetInTwoYears)
+	writeControl(&b, targetInTwoYears)
+	writeStore(&b, targetInTwoYears)
 	b.WriteString(capacityTail)
 	b.WriteString(capacityPlatform)
 	return b.String()
 }
 
-// writeCells compares cell sizes: small cells make large batches and few calls,
-// large cells hold more replicas of each shard.
-func writeCells(b *strings.Builder, t target) {
+// writeCells writes the comparison of cell sizes. Small cells need fewer calls with
+// larger batches; large cells have more replicas of each shard.
+func writeCells(b *strings.Builder, t designTarget) {
 	b.WriteString(`## Size of a cell and cost of a query
 
 A call costs 100 µs of processor time and an item in it 8 µs (both ends). A daemon receives ` +
-		number(t.queries/t.daemons) + ` queries a second. "Relay" is calls and items alone; "all" takes the ` +
-		number(subRequestCPU) + ` µs that a sub-request costs all daemons today, where a batch has about 3 items.
+		formatNumber(t.queriesPerSecond/t.daemons) + ` queries a second. "Relay" is calls and items alone; "all" takes the ` +
+		formatNumber(subRequestCPUMicros) + ` µs that a sub-request costs all daemons today, where a batch has about 3 items.
 
 | Daemons in a cell | Cells | Rows of searchers | Searchers of a home | Items in a batch | Relay cores for each daemon | All cores for each daemon |
 |---|---|---|---|---|---|---|
@@ -67,44 +67,47 @@
 		cells := t.daemons / n
 		rows := t.searchers / cells / t.fanOut
 		calls := min(n, t.fanOut)
-		relay := t.queries / t.daemons * (calls*callCPU + t.fanOut*itemCPU) / 1e6
-		all := t.queries / t.daemons * t.fanOut * subRequestCPU / 1e6
-		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s | %s |\n", number(n), number(cells), number(rows),
-			number(t.searchers/t.daemons), number(t.fanOut/calls), number(relay), number(all))
+		relay := t.queriesPerSecond / t.daemons * (calls*callCPUMicros + t.fanOut*itemCPUMicros) / 1e6
+		all := t.queriesPerSecond / t.daemons * t.fanOut * subRequestCPUMicros / 1e6
+		fmt.Fprintf(b, "| %s | %s | %s | %s | %s | %s | %s |\n", formatNumber(n), formatNumber(cells), formatNumber(rows),
+			formatNumber(t.searchers/t.daemons), formatNumber(t.fanOut/calls), formatNumber(relay), formatNumber(all))
 	}
 	fmt.Fprintf(b, `
 One row leaves no second searcher for a hedge. %s daemons with two rows are the smallest cell with one; the tables below use them. Four rows cost more for relay and let a shard lose more searchers.
 
-`, number(chosenCell))
+`, formatNumber(daemonsPerCell))
 }
 
+// controlRow is the cost of one role of a daemon.
 type controlRow struct {
-	role  string
-	state string
-	cpu   float64 // Share of a core.
-	bytes float64 // Kilobytes a second.
-	why   string
+	role               string
+	state              string
+	coreShare          float64
+	kilobytesPerSecond float64
+	source             string
 }
 
-func controlRows(t target) []controlRow {
-	n := chosenCell
+// controlRows returns the costs of control at size t.
+func controlRows(t designTarget) []controlRow {
+	n := daemonsPerCell
 	perHome := t.searchers / t.daemons
-	groups := t.fanOut // Of a cell: one for each shard.
-	changes := t.changes / secondsPerDay
-	epochs := t.restarts / secondsPerDay * n / t.daemons
+	groups := t.fanOut // A cell has one group for each shard.
+	changes := t.changesPerDay / secondsPerDay
+	epochs := t.restartsPerDay / secondsPerDay * n / t.daemons
 	all := t.searchers * groups / (t.searchers * n / t.daemons)
 	return []controlRow{
-		{"Any daemon", "membership of its cell, own identifiers", idleCPU, (beatsPerSecond*heartbeatBytes + 2*probesPerSecond*probeBytes) / 1000, "heartbeats, probes"},
-		{"Home", number(perHome) + " searchers", perHome * searcherCPU, perHome * healthPerSecond * healthBytes / 1000, "health requests"},
-		{"Cell keeper", "hearing of " + number(n) + " members", n * beatsPerSecond * (heartbeatCPU + callCPU) / 1e6, n * beatsPerSecond * heartbeatBytes / 1000, "heartbeats received"},
-		{"Epoch change", number(groups) + " groups of the cell", epochs * groups * n * tableCPU / 1e6, 0, number(epochs*3600) + " epochs an hour"},
-		{"Configuration, own cell", number(groups) + " groups", changes * groups / 1000 * installCPU / 1000, changes * n / t.daemons * t.searchers * catalogueBytes / 1000, "when split by cell"},
-		{"Configuration, whole, compact", number(all) + " groups", changes * (all/1000*installCPU + t.searchers/1000*checkCPU) / 1000, changes * t.searchers * catalogueBytes / 1000, "as built"},
-		{"Configuration, whole, explicit", number(all) + " groups", changes * (all/1000*installCPU + t.searchers/1000*checkCPU) / 1000, changes * t.searchers * explicitBytes / 1000, "as built"},
+		{"Any daemon", "membership of its cell, own identifiers", idleCoreShare, (heartbeatsPerSecond*heartbeatBytes + 2*probesPerSecond*probeBytes) / 1000, "heartbeats, probes"},
+		{"Home", formatNumber(perHome) + " searchers", perHome * searcherCoreShare, perHome * healthRequestsPerSecond * healthBytes / 1000, "health requests"},
+		{"Cell keeper", "hearing of " + formatNumber(n) + " members", n * heartbeatsPerSecond * (heartbeatCPUMicros + callCPUMicros) / 1e6, n * heartbeatsPerSecond * heartbeatBytes / 1000, "heartbeats received"},
+		{"Epoch change", formatNumber(groups) + " groups of the cell", epochs * groups * n * tableCPUMicros / 1e6, 0, formatNumber(epochs*3600) + " epochs an hour"},
+		{"Configuration, own cell", formatNumber(groups) + " groups", changes * groups / 1000 * installCPUMillis / 1000, changes * n / t.daemons * t.searchers * catalogueBytes / 1000, "when split by cell"},
+		{"Configuration, whole, compact", formatNumber(all) + " groups", changes * (all/1000*installCPUMillis + t.searchers/1000*checkCPUMillis) / 1000, changes * t.searchers * catalogueBytes / 1000, "as built"},
+		{"Configuration, whole, explicit", formatNumber(all) + " groups", changes * (all/1000*installCPUMillis + t.searchers/1000*checkCPUMillis) / 1000, changes * t.searchers * explicitBytes / 1000, "as built"},
 	}
 }
 
-func writeControl(b *strings.Builder, t target) {
+// writeControl writes the costs of control and compares them with the limits.
+func writeControl(b *strings.Builder, t designTarget) {
 	b.WriteString(`## Control of a daemon
 
 | Role | State | Core | kB/s | Source |
@@ -112,32 +115,33 @@
 `)
 	rows := controlRows(t)
 	for _, r := range rows {
-		fmt.Fprintf(b, "| %s | %s | %.2f%% | %s | %s |\n", r.role, r.state, 100*r.cpu, number(r.bytes), r.why)
+		fmt.Fprintf(b, "| %s | %s | %.2f%% | %s | %s |\n", r.role, r.state, 100*r.coreShare, formatNumber(r.kilobytesPerSecond), r.source)
 	}
 	var cpu, traffic float64
 	for _, r := range rows[:5] {
-		cpu, traffic = cpu+r.cpu, traffic+r.bytes
+		cpu, traffic = cpu+r.coreShare, traffic+r.kilobytesPerSecond
 	}
 	fmt.Fprintf(b, "| **A keeper that is home, configuration split** | | **%.2f%%** of %.1f%%: %s | **%s** of %s: %s | first five rows |\n",
-		100*cpu, 100*t.core, fits(cpu, t.core), number(traffic), number(t.bytes), fits(traffic, t.bytes))
-	cpu += rows[5].cpu - rows[4].cpu
-	traffic += rows[5].bytes - rows[4].bytes
+		100*cpu, 100*t.coreLimit, fitText(cpu, t.coreLimit), formatNumber(traffic), formatNumber(t.trafficLimitKB), fitText(traffic, t.trafficLimitKB))
+	cpu += rows[5].coreShare - rows[4].coreShare
+	traffic += rows[5].kilobytesPerSecond - rows[4].kilobytesPerSecond
 	fmt.Fprintf(b, "| **The same, as built, compact** | | **%.2f%%** of %.1f%%: %s | **%s** of %s: %s | |\n",
-		100*cpu, 100*t.core, fits(cpu, t.core), number(traffic), number(t.bytes), fits(traffic, t.bytes))
-	own := baseMemory + t.searchers/t.daemons*searcherMemory
-	allGroups := t.fanOut * t.daemons / chosenCell
-	whole := own + t.searchers*catalogueMemory + allGroups*orderMemory
-	split := own + chosenCell/t.daemons*(t.searchers*catalogueMemory+allGroups*orderMemory)
+		100*cpu, 100*t.coreLimit, fitText(cpu, t.coreLimit), formatNumber(traffic), formatNumber(t.trafficLimitKB), fitText(traffic, t.trafficLimitKB))
+	own := baseMemoryMB + t.searchers/t.daemons*searcherMemoryMB
+	allGroups := t.fanOut * t.daemons / daemonsPerCell
+	whole := own + t.searchers*catalogueMemoryMB + allGroups*orderMemoryMB
+	split := own + daemonsPerCell/t.daemons*(t.searchers*catalogueMemoryMB+allGroups*orderMemoryMB)
 	fmt.Fprintf(b, "\nMemory, limit %s MB: %s MB with the whole catalogue (%s), %s MB with the catalogue split by cell (%s).\n\n",
-		number(t.memory), number(whole), fits(whole, t.memory), number(split), fits(split, t.memory))
+		formatNumber(t.memoryLimitMB), formatNumber(whole), fitText(whole, t.memoryLimitMB), formatNumber(split), fitText(split, t.memoryLimitMB))
 }
 
-func writeStore(b *strings.Builder, t target) {
-	cells := t.daemons / chosenCell
-	epochs := t.restarts / secondsPerDay
-	writes := cells*renewsPerSecond + epochs + t.changes/secondsPerDay
+// writeStore writes the rates of calls to the store and compares them with the limits.
+func writeStore(b *strings.Builder, t designTarget) {
+	cells := t.daemons / daemonsPerCell
+	epochs := t.restartsPerDay / secondsPerDay
+	writes := cells*renewalsPerSecond + epochs + t.changesPerDay/secondsPerDay
 	watches := t.domains * watchersPerDomain
-	reads := t.daemons*checksPerSecond + watches*watchPollsPerWatch + watches*t.changes/secondsPerDay
+	reads := t.daemons*storeChecksPerSecond + watches*watchPollsPerWatch + watches*t.changesPerDay/secondsPerDay
 	fmt.Fprintf(b, `## Calls of the store
 
 | Call | A second | Source |
@@ -149,21 +153,22 @@
 | Direct checks | %s | one a minute for each daemon |
 | Watches | %s waiting, %s polls and wake-ups | 2 for each failure domain |
 | **Reads** | **%s** of %s: %s | |
-`, number(cells*renewsPerSecond), number(cells), number(epochs), number(t.changes/secondsPerDay),
-		number(writes), number(t.storeWrite), fits(writes, t.storeWrite),
-		number(t.daemons*checksPerSecond), number(watches), number(reads-t.daemons*checksPerSecond),
-		number(reads), number(t.storeReads), fits(reads, t.storeReads))
+`, formatNumber(cells*renewalsPerSecond), formatNumber(cells), formatNumber(epochs), formatNumber(t.changesPerDay/secondsPerDay),
+		formatNumber(writes), formatNumber(t.storeWriteLimit), fitText(writes, t.storeWriteLimit),
+		formatNumber(t.daemons*storeChecksPerSecond), formatNumber(watches), formatNumber(reads-t.daemons*storeChecksPerSecond),
+		formatNumber(reads), formatNumber(t.storeReadLimit), fitText(reads, t.storeReadLimit))
 }
 
-func fits(v, limit float64) string {
+func fitText(v, limit float64) string {
 	if v <= limit {
 		return "fits"
 	}
 	return "does not fit"
 }
 
-// number renders v with two or three significant figures.
-func number(v float64) string {
+// formatNumber formats v without decimals if it is whole or at least 100, with one
+// decimal if it is at least 10, and with two otherwise.
+func formatNumber(v float64) string {
 	switch {
 	case v >= 100 || v == float64(int(v)):
 		return fmt.Sprintf("%.0f", v)
--- a/reference/capacityplatform.go
+++ b/reference/capacityplatform.go
@@ -1,8 +1,8 @@
 package reference
 
-// capacityPlatform is the part of docs/CAPACITY.md on the daemon that runs on the
-// users' platform. Its figures are from the users' bench: sweep of
-// tamasha-yard-grown on 2026-12-04, one day at 30, 100 and 300 daemons.
+// capacityPlatform is the section of docs/CAPACITY.md about the daemon on the users'
+// platform. Its figures are from the users' bench, the sweep of tamasha-yard-grown on
+// 2026-12-04 over one day with 30, 100 and 300 daemons.
 const capacityPlatform = `
 ## The daemon on the platform
 
--- a/reference/counters_test.go
+++ b/reference/counters_test.go
@@ -9,26 +9,27 @@
 	"testing"
 )
 
-// Guards against an alert on a counter that the program does not have.
-func TestCountersOfOperatorsPageExist(t *testing.T) {
+// Guards against documenting a counter for alerts that the code does not count.
+func TestDocumentedCountersExist(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := regexp.MustCompile("(?m)^\\| `([a-z_]+\\.[a-z_.*]+)` \\|").FindAllStringSubmatch(string(page), -1)
 	if len(rows) < 15 {
-		t.Fatalf("found only %d counters", len(rows))
+		t.Fatalf("found only %d counters in docs/operators.md", len(rows))
 	}
-	source := sources(t)
+	source := sourceText(t)
 	for _, row := range rows {
-		if name := row[1]; !counted(source, name) {
-			t.Errorf("no code counts %q", name)
+		if name := row[1]; !isCounted(source, name) {
+			t.Errorf("counter %q of docs/operators.md is not counted in the code", name)
 		}
 	}
 }
 
-// counted reports whether the code counts name, whose last parts may be composed.
-func counted(source, name string) bool {
+// isCounted reports whether source counts name. The code may compose the last parts
+// of the name at run time.
+func isCounted(source, name string) bool {
 	name = strings.TrimSuffix(name, "*")
 	if strings.Contains(source, `"`+name+`"`) {
 		return true
@@ -48,8 +49,8 @@
 	}
 }
 
-// sources returns the text of all Go files but tests.
-func sources(t *testing.T) string {
+// sourceText returns the text of all Go files except tests.
+func sourceText(t *testing.T) string {
 	t.Helper()
 	var all strings.Builder
 	err := filepath.WalkDir("..", func(path string, d fs.DirEntry, err error) error {
--- a/reference/doc.go
+++ b/reference/doc.go
@@ -1,4 +1,4 @@
-// Package reference renders the reference pages that are generated from
-// tables in the code: docs/settings.md, docs/errors.md and docs/CAPACITY.md. The package's test
-// keeps the pages equal to the tables; "go test ./reference -update" rewrites them.
+// Package reference generates the pages docs/settings.md, docs/errors.md and
+// docs/CAPACITY.md from tables in the code. A test fails if a page differs from its
+// table; "go test ./reference -update" rewrites the pages.
 package reference
--- a/reference/errors.go
+++ b/reference/errors.go
@@ -33,10 +33,11 @@
 |---|---|---|---|---|
 `
 
-// Errors returns docs/errors.md. The meanings are the doc comments in
-// kindSource, the source file refusal/kind.go.
+// Errors returns the text of docs/errors.md. kindSource is the source of
+// refusal/kind.go, whose doc comments give the meanings of the kinds. A kind without a
+// doc comment is an error.
 func Errors(kindSource []byte) (string, error) {
-	meanings, err := kindComments(kindSource)
+	meanings, err := kindMeanings(kindSource)
 	if err != nil {
 		return "", err
 	}
@@ -52,11 +53,11 @@
 	return out.String(), nil
 }
 
-// kindComments maps each kind to its doc comment without the leading name.
-func kindComments(source []byte) (map[refusal.Kind]string, error) {
+// kindMeanings returns the meaning of each kind from its doc comment.
+func kindMeanings(source []byte) (map[refusal.Kind]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), "kind.go", source, parser.ParseComments)
 	if err != nil {
-		return nil, eris.Wrap(err, "parse the list of kinds")
+		return nil, eris.Wrap(err, "parse refusal/kind.go")
 	}
 	meanings := make(map[refusal.Kind]string)
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -70,15 +71,16 @@
 		}
 		kind, err := strconv.Unquote(lit.Value)
 		if err == nil {
-			meanings[refusal.Kind(kind)] = sentence(spec.Names[0].Name, spec.Doc.Text())
+			meanings[refusal.Kind(kind)] = tableCell(spec.Names[0].Name, spec.Doc.Text())
 		}
 		return true
 	})
 	return meanings, nil
 }
 
-// sentence turns "Name is a thing." or "Name means that it is." into a cell of the table.
-func sentence(name, doc string) string {
+// tableCell converts a doc comment such as "Name is a request ..." or "Name means that
+// the daemon ..." to the text of a table cell: it removes the name and the verb.
+func tableCell(name, doc string) string {
 	text := strings.Join(strings.Fields(strings.TrimPrefix(doc, name)), " ")
 	for _, verb := range []string{"is ", "means that "} {
 		text = strings.TrimPrefix(text, verb)
--- a/reference/pages_test.go
+++ b/reference/pages_test.go
@@ -12,7 +12,7 @@
 
 var update = flag.Bool("update", false, "rewrite the pages from the tables")
 
-// Guards against a reference page that differs from the table that the program uses.
+// Guards against a reference page that differs from the table in the code.
 func TestPagesEqualTables(t *testing.T) {
 	kinds, err := os.ReadFile("../refusal/kind.go")
 	if err != nil {
--- a/reference/settings.go
+++ b/reference/settings.go
@@ -11,7 +11,7 @@
 
 <!-- Generated from the table in package settings. Change it there and run: go test ./reference -update -->
 
-Settings are the YAML file of one daemon, given to ` + "`medlaryard serve`" + `. A setting with a dot stands in a section:
+The settings of a daemon are a YAML file that is passed to ` + "`medlaryard serve`" + `. The part of a name before a dot is a section of the file:
 
 ` + "```yaml" + `
 name: entry-1
@@ -24,15 +24,15 @@
 peers: ["10.0.0.2:8081", "10.0.0.3:8081"]
 ` + "```" + `
 
-Unknown, repeated and wrongly typed settings are errors with file, line, column, path and what was expected; the daemon does not start. Changed settings take effect at the next start. A duration is written with its unit, such as ` + "`250ms`" + ` or ` + "`1m30s`" + `.
+If a setting is unknown, repeated or of the wrong type, the daemon does not start; the error gives file, line, column, path and the expected value. Changed settings take effect at the next start. A duration is written with its unit, such as ` + "`250ms`" + ` or ` + "`1m30s`" + `.
 
-Times on which all daemons of a cell must agree, such as heartbeats and leases, are constants of the program and not settings, because daemons with different values could hold one lease at the same time.
+Durations that must be equal on all daemons of a cell, such as those of heartbeats and leases, are constants in the code and not settings, because daemons with different values could hold one lease at the same time.
 
 | Setting | Default | Unit | Accepted | Meaning |
 |---|---|---|---|---|
 `
 
-// Settings returns docs/settings.md.
+// Settings returns the text of docs/settings.md.
 func Settings() string {
 	var out strings.Builder
 	out.WriteString(settingsHead)
