--- a/cmd/medlaryard/main.go
+++ b/cmd/medlaryard/main.go
@@ -1,4 +1,4 @@
-// Command medlaryard is the query tier's daemon and its operators' tools.
+// Command medlaryard runs a daemon of the query tier and the operators' commands.
 package main
 
 import (
