--- a/daemon/appliedshares.go
+++ b/daemon/appliedshares.go
@@ -16,33 +16,33 @@
 }
 
 // set replaces the shares at now and reports whether any changed.
-func (l *appliedShares) set(shares map[string]lease.Share, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.since == nil {
-		l.since = make(map[string]time.Time)
+func (a *appliedShares) set(shares map[string]lease.Share, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.since == nil {
+		a.since = make(map[string]time.Time)
 	}
-	if maps.Equal(l.shares, shares) {
+	if maps.Equal(a.shares, shares) {
 		return false
 	}
-	for id := range l.since {
+	for id := range a.since {
 		if _, ok := shares[id]; !ok {
-			delete(l.since, id)
+			delete(a.since, id)
 		}
 	}
 	for id, s := range shares {
-		if l.shares[id] != s {
-			l.since[id] = now
+		if a.shares[id] != s {
+			a.since[id] = now
 		}
 	}
-	l.shares = shares
+	a.shares = shares
 	return true
 }
 
 // get returns the share of group id and since when the daemon has it. The time is
 // zero if the daemon has no share.
-func (l *appliedShares) get(id string) (lease.Share, time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.shares[id], l.since[id]
+func (a *appliedShares) get(id string) (lease.Share, time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.shares[id], a.since[id]
 }
--- a/daemon/condition.go
+++ b/daemon/condition.go
@@ -60,8 +60,8 @@
 		},
 		isolation: condition{
 			name:  "isolation",
-			began: "isolation began: neither the store nor any peer responds",
-			ended: "isolation ended: the store or a peer responds",
+			began: "isolation began: neither the store nor any peer answers",
+			ended: "isolation ended: the store or a peer answers",
 		},
 	}
 }
