--- a/node/addresses.go
+++ b/node/addresses.go
@@ -2,75 +2,82 @@
 
 import "medlaryard.example/medlaryard/fleet"
 
-// ready reports whether callers should come to this daemon.
+// ready reports whether this daemon accepts callers: it has a configuration and
+// is not shutting down.
 func (d *Daemon) ready() bool { return !d.leaving.Load() && d.engine.Table() != nil }
 
-// addresses returns the addresses that a caller of that region is to use.
+// addresses returns the addresses to which callers of the given region connect.
+// It returns nil if no daemon can serve them.
 func (d *Daemon) addresses(region string) []string {
-	offers := d.offers()
-	if len(offers) == 0 {
+	endpoints := d.callerEndpoints()
+	if len(endpoints) == 0 {
 		return nil
 	}
-	return choose(offers, region)
+	return selectAddresses(endpoints, region)
 }
 
-// offers returns the daemons that callers may be told to use. This one is among
-// them if it can serve, or if no other is known that could.
-func (d *Daemon) offers() []offer {
+// callerEndpoints returns the daemons whose addresses may be given to callers.
+// It prefers live daemons and falls back to those that have stopped sending
+// heartbeats. This daemon is included if it can serve callers, or if no other
+// daemon is known.
+func (d *Daemon) callerEndpoints() []callerEndpoint {
 	serving := d.serving.names()
-	offers := d.offersOf(d.fleet.Alive(), func(m fleet.Member) standing {
+	endpoints := d.endpointsOf(d.fleet.Alive(), func(m fleet.Member) servingState {
 		if serving[m.Name()] {
-			return serves
+			return stateServing
 		}
-		return standby
+		return stateStandby
 	})
-	if len(offers) == 0 {
-		offers = d.offersOf(d.fleet.Known(), func(fleet.Member) standing { return silent })
+	if len(endpoints) == 0 {
+		endpoints = d.endpointsOf(d.fleet.Known(), func(fleet.Member) servingState { return stateSilent })
 	}
-	self := offer{front: d.settings.Callers(), region: d.settings.Region(), standing: silent}
-	able := d.able()
+	own := callerEndpoint{address: d.settings.Callers(), region: d.settings.Region(), state: stateSilent}
+	canServe := d.canServe()
 	switch {
-	case able && d.serving.includesSelf():
-		self.standing = serves
-	case able:
-		self.standing = standby
+	case canServe && d.serving.includesSelf():
+		own.state = stateServing
+	case canServe:
+		own.state = stateStandby
 	}
-	if d.ready() && (able || len(offers) == 0) {
-		offers = append(offers, self)
+	if d.ready() && (canServe || len(endpoints) == 0) {
+		endpoints = append(endpoints, own)
 	}
-	return offers
+	return endpoints
 }
 
-// offersOf returns those of the daemons that can serve.
-func (d *Daemon) offersOf(members []fleet.Member, rank func(fleet.Member) standing) []offer {
-	var offers []offer
+// endpointsOf returns the endpoints of the members that can serve callers and
+// are not shutting down.
+func (d *Daemon) endpointsOf(members []fleet.Member, stateOf func(fleet.Member) servingState) []callerEndpoint {
+	var endpoints []callerEndpoint
 	for _, m := range members {
 		if m.Serving() && !m.Leaving() {
-			offers = append(offers, offer{front: m.Front(), region: d.settings.RegionOf(m.Zone()), standing: rank(m)})
+			endpoints = append(endpoints, callerEndpoint{address: m.Front(), region: d.settings.RegionOf(m.Zone()), state: stateOf(m)})
 		}
 	}
-	return offers
+	return endpoints
 }
 
-// ableShare is the part of the services in use of which a daemon must reach some
-// target to be named to callers.
-const ableShare = 0.6
+// minReachableFraction is the fraction of the used services that a daemon must
+// reach before its address is given to callers. A service is reachable if one
+// of its targets accepts connections.
+const minReachableFraction = 0.6
 
-// able reports whether this daemon reaches enough targets to serve callers.
-func (d *Daemon) able() bool {
+// canServe reports whether this daemon reaches enough services to serve
+// callers.
+func (d *Daemon) canServe() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.table == nil {
 		return false
 	}
-	reachable, all := d.reach()
-	return float64(reachable) >= ableShare*float64(all)
+	reachable, all := d.countReachable()
+	return float64(reachable) >= minReachableFraction*float64(all)
 }
 
-// reach returns how many of the services in use have a target that accepts
-// connections, and how many there are. The caller holds the daemon's lock.
-func (d *Daemon) reach() (reachable, all int) {
-	for name := range d.used {
+// countReachable returns the number of used services with a target that accepts
+// connections, and the number of all used services. The caller holds d.mu.
+func (d *Daemon) countReachable() (reachable, all int) {
+	for name := range d.usedServices {
 		all++
 		if g := d.groups[name]; g != nil && g.Reachable() {
 			reachable++
--- a/node/apply.go
+++ b/node/apply.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// connectionShare is the part of a target's connections that daemons divide
-	// among themselves; the rest is for those that are being closed.
-	connectionShare = 0.9
+	// usableConnectionFraction is the fraction of a target's connection limit that
+	// is divided among the daemons. The remainder covers connections that are
+	// being closed.
+	usableConnectionFraction = 0.9
 )
 
-// apply puts the mirrored configuration and targets in force.
+// apply installs the configuration and the targets from the mirror.
 func (d *Daemon) apply() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.serving.register(platform.DecodeDaemons(d.mirror.Objects(platform.KindDaemons)))
+	d.serving.setCandidates(platform.DecodeDaemons(d.mirror.Objects(platform.KindDaemons)))
 	now := d.clock.Now()
-	d.roster.update(platform.DecodeTargets(d.mirror.Objects(platform.KindTargets), d.settings.RegionOf), now)
-	newer := d.readConfig()
+	d.targetCache.update(platform.DecodeTargets(d.mirror.Objects(platform.KindTargets), d.settings.RegionOf), now)
+	updated := d.loadConfig()
 	if d.table == nil {
 		return
 	}
 	d.updateGroups(now)
-	if newer {
+	if updated {
 		d.engine.Install(d.table, d.groups)
-		d.installed = d.clock.Boot()
+		d.installedAt = d.clock.Boot()
 		d.log.Info().Uint64("configuration", d.table.Version()).Int("services", len(d.groups)).Msg("configuration in force")
 	}
 	if d.mirror.Known(platform.KindTargets) {
-		d.starting.Do(func() { close(d.started) })
+		d.startOnce.Do(func() { close(d.started) })
 	}
 }
 
-// readConfig takes a configuration that is newer than the one in force and makes
-// the groups of its services. It reports false if there is none. The groups of a
-// configuration never change, so that requests share them without a lock.
-func (d *Daemon) readConfig() bool {
+// loadConfig decodes the mirrored configuration and creates the groups of its
+// services. It reports false if there is no configuration newer than the
+// installed one. The group map of a configuration is never modified, so
+// requests share it without a lock.
+func (d *Daemon) loadConfig() bool {
 	t, revision, err := platform.DecodeConfig(d.mirror.Objects(platform.KindConfig), d.configRevision)
 	d.configRevision = revision
 	if err != nil {
-		d.log.Error().Err(err).Msg("configuration cannot be read; the one in force stays")
+		d.log.Error().Err(err).Msg("configuration cannot be decoded; keeping the installed one")
 		return false
 	}
 	if t == nil || d.table != nil && t.Version() <= d.table.Version() {
@@ -60,49 +62,50 @@
 	}
 	for name, g := range d.groups {
 		if groups[name] == nil {
-			g.Update(nil) // Requests under way are still answered.
+			g.Update(nil) // Requests in progress are still answered.
 		}
 	}
-	d.groups, d.table, d.used = groups, t, t.Used()
+	d.groups, d.table, d.usedServices = groups, t, t.Used()
 	d.resizeGroups()
 	return true
 }
 
 func (d *Daemon) newGroup(service string) *targets.Group {
 	return targets.NewGroup(service, platform.TargetProtocol(),
-		targets.Clock(d.clock), targets.PreferDomain(d.settings.Zone()), targets.Log(d.log),
+		targets.Clock(d.clock), targets.PreferDomain(d.settings.Domain()), targets.Log(d.log),
 		targets.OnCrash(d.engine.Crashed), targets.ReportTo(d.reports),
 		targets.Dial(func(ctx context.Context, address string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp4", address)
 		}))
 }
 
-// updateGroups hands each group its targets and comes back when the next
-// vanished target expires.
+// updateGroups passes each group its targets and schedules the next update for
+// when a missing target expires.
 func (d *Daemon) updateGroups(now time.Time) {
-	entries, next := d.roster.entries(now, d.evacuated())
+	entries, nextExpiry := d.targetCache.entries(now, d.evacuated())
 	for name, g := range d.groups {
 		g.Update(entries[name])
 	}
-	if d.expiry != nil {
-		d.expiry.Stop()
-		d.expiry = nil
+	if d.expiryTimer != nil {
+		d.expiryTimer.Stop()
+		d.expiryTimer = nil
 	}
-	if !next.IsZero() {
-		d.expiry = d.clock.AfterFunc(next.Sub(now), func() { d.changed(platform.KindTargets) })
+	if !nextExpiry.IsZero() {
+		d.expiryTimer = d.clock.AfterFunc(nextExpiry.Sub(now), func() { d.notifyChange(platform.KindTargets) })
 	}
 }
 
-// evacuated returns the failure domains that operators have taken out.
+// evacuated returns the failure domains that operators have evacuated.
 func (d *Daemon) evacuated() map[string]bool {
-	zones := make(map[string]bool)
+	domains := make(map[string]bool)
 	for _, o := range d.mirror.Objects(platform.KindEvacuations) {
-		zones[o.Name()] = true
+		domains[o.Name()] = true
 	}
-	return zones
+	return domains
 }
 
-// resize follows the size of the fleet.
+// resize adjusts the limits of all groups to the current number of serving
+// daemons.
 func (d *Daemon) resize() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,13 +115,13 @@
 }
 
 func (d *Daemon) resizeGroups() {
-	position, n := d.serving.position()
-	ahead := d.serving.connectsAhead()
+	index, n := d.serving.position()
+	preconnect := d.serving.preconnects()
 	budget := targets.NewBudgetLimits(d.settings.ExtraRatio(), d.settings.ExtraSlack(), n)
 	for name, g := range d.groups {
 		s := d.table.Service(name)
-		share := int(connectionShare * float64(s.MaxConnections()) / float64(n))
-		cold := targets.NewColdLimits(s.WarmUpRate(), d.settings.ColdOvershoot(), d.settings.ColdSlack(), n, position)
-		g.Resize(targets.NewSizing(share, cold, budget, d.used[name] && ahead))
+		share := int(usableConnectionFraction * float64(s.MaxConnections()) / float64(n))
+		cold := targets.NewColdLimits(s.WarmUpRate(), d.settings.ColdOvershoot(), d.settings.ColdSlack(), n, index)
+		g.Resize(targets.NewSizing(share, cold, budget, d.usedServices[name] && preconnect))
 	}
 }
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -21,19 +21,20 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// cluster is some daemons in this process with stand-ins for store and targets.
+// cluster runs daemons in this process with stand-ins for the store and the
+// targets.
 type cluster struct {
 	t       *testing.T
 	store   *metastore.Store
 	server  *httptest.Server
-	daemons []*running
+	daemons []*runningDaemon
 	targets []*shards.Target
 	version int
 	shards  []string
 	entries map[string]*platformtest.Target // Entries of targets by id.
 }
 
-type running struct {
+type runningDaemon struct {
 	ip     string
 	daemon *Daemon
 	stop   context.CancelFunc
@@ -63,13 +64,13 @@
 	for j := range 2 {
 		c.addTarget(fmt.Sprintf("cards-%d", j), "cards")
 	}
-	c.configure("/match/")
+	c.putConfig("/match/")
 	for i := range daemons {
-		c.daemons = append(c.daemons, c.run(fmt.Sprintf("127.0.77.%d", i+1)))
+		c.daemons = append(c.daemons, c.startDaemon(fmt.Sprintf("127.0.77.%d", i+1)))
 	}
 	c.eventually("all daemons serve", func() bool {
 		for _, d := range c.daemons {
-			if d.daemon.engine.Table() == nil || !d.daemon.able() {
+			if d.daemon.engine.Table() == nil || !d.daemon.canServe() {
 				return false
 			}
 		}
@@ -96,14 +97,15 @@
 	c.store.Put(platform.KindTargets, id, c.entries[id].Object())
 }
 
-// setVersion changes the version in a target's entry.
+// setVersion sets the version in a target's entry.
 func (c *cluster) setVersion(id, version string) {
 	c.entries[id].SetVersion(version)
 	c.store.Put(platform.KindTargets, id, c.entries[id].Object())
 }
 
-// configure writes a configuration whose sharded route has that prefix.
-func (c *cluster) configure(prefix string) {
+// putConfig writes a new configuration whose sharded route has the given
+// prefix.
+func (c *cluster) putConfig(prefix string) {
 	c.version++
 	cfg := platformtest.NewConfig(c.version, 1000)
 	for _, name := range append([]string{"cards"}, c.shards...) {
@@ -140,9 +142,9 @@
 	return s
 }
 
-func (c *cluster) run(ip string) *running {
+func (c *cluster) startDaemon(ip string) *runningDaemon {
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{ip: ip, stop: stop, done: make(chan error, 1)}
+	r := &runningDaemon{ip: ip, stop: stop, done: make(chan error, 1)}
 	r.daemon = newDaemon(c.settings(ip), clock.System{}, zerolog.Nop())
 	go func() { r.done <- r.daemon.run(ctx) }()
 	c.t.Cleanup(func() {
@@ -155,18 +157,19 @@
 	return r
 }
 
-// eventually waits until ok; the wait is far above what it takes.
+// eventually waits until ok returns true. The timeout is far above the expected
+// time.
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
-	const patience = 30 * time.Second
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	const timeout = 30 * time.Second
+	for end := time.Now().Add(timeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			c.t.Fatalf("not within %v: %s", patience, what)
+			c.t.Fatalf("timed out after %v: %s", timeout, what)
 		}
 	}
 }
 
-// reply is an answer to a request of a test.
+// reply is the response to a test request.
 type reply struct {
 	status int
 	header http.Header
@@ -195,7 +198,7 @@
 	return reply{status: resp.StatusCode, header: resp.Header, body: b}
 }
 
-// resolve returns the addresses that a daemon tells callers to use.
+// resolve returns the addresses that a daemon's directory gives to callers.
 func (c *cluster) resolve(ip string) []string {
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d/api/resolve?name=songs.example&region=r&zone=a", ip, directoryPort))
 	if err != nil {
@@ -221,7 +224,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// runs returns how often a request ran, over all targets.
+// runs returns how often a request ran on all targets.
 func (c *cluster) runs(id string) int {
 	n := 0
 	for _, t := range c.targets {
--- a/node/daemon.go
+++ b/node/daemon.go
@@ -24,48 +24,55 @@
 )
 
 const (
-	// configReread, targetsReread and ordersReread bound the time for which a
-	// watch that misses changes is believed.
-	configReread  = 3 * time.Second
-	targetsReread = 8 * time.Second
-	ordersReread  = 10 * time.Second
-	// gatherChanges is how long changes of targets are gathered; a target that
-	// drains serves for 3 s at least.
-	gatherChanges = 200 * time.Millisecond
-	// fetchTimeout bounds one call to a neighbour.
-	fetchTimeout = 700 * time.Millisecond
-	// resizeEvery is how often the division of limits follows the fleet's size.
-	resizeEvery = time.Second
-	// registerDelay is the pause before the registration is tried again.
-	registerDelay = 500 * time.Millisecond
-	// registerTimeout leaves a slow store the time to answer.
+	// configRelistInterval, targetsRelistInterval and ordersRelistInterval limit
+	// how long a kind of object is followed by watch alone. Listing it again
+	// recovers changes that the watch missed.
+	configRelistInterval  = 3 * time.Second
+	targetsRelistInterval = 8 * time.Second
+	ordersRelistInterval  = 10 * time.Second
+	// changeBatchDelay is the delay after a change of targets before the next
+	// watch, which then returns several changes at once. A draining target serves
+	// for at least 3 s.
+	changeBatchDelay = 200 * time.Millisecond
+	// peerCallTimeout limits one call to another daemon.
+	peerCallTimeout = 700 * time.Millisecond
+	// resizeInterval is the time between adjustments of the limits to the fleet
+	// size.
+	resizeInterval = time.Second
+	// registerRetryDelay is the delay before a failed registration is retried.
+	registerRetryDelay = 500 * time.Millisecond
+	// registerTimeout is long enough for a slow store to answer.
 	registerTimeout = 5 * time.Second
-	// peerProbeIdle finds connections between daemons that have gone silent.
-	peerProbeIdle = time.Second
-	// seedWait is how long a daemon waits for others to tell it what the store
-	// holds; they start within 300 ms of one another.
-	seedWait = 450 * time.Millisecond
-	// standbyWait is that time for a daemon that the registry names as one that
-	// stands by. Those that serve need about 0.2 s, and callers do not wait for
-	// this one.
-	standbyWait = 2 * time.Second
-	// registryTimeout bounds the reading of the registry before that; the store
-	// usually answers in some milliseconds.
-	registryTimeout = 300 * time.Millisecond
-	// seedCheck is how often it looks.
-	seedCheck = 25 * time.Millisecond
-	// notifyEvery is the least time between two notices of changes.
-	notifyEvery = 100 * time.Millisecond
-	// standbyFetch is the least time between two fetches of a daemon that stands
-	// by.
-	standbyFetch = 600 * time.Millisecond
-	// callerHeaderTimeout bounds the sending of a request's header.
-	callerHeaderTimeout = 10 * time.Second
-	// callerIdle is above the idle times that configurations permit.
-	callerIdle = 90 * time.Second
+	// peerKeepAliveIdle is the idle time before TCP keep-alive probes check a
+	// connection to another daemon.
+	peerKeepAliveIdle = time.Second
+	// initialPeerWait is how long a starting daemon waits for data from its peers
+	// before it reads the store. Daemons that start together do so within 300 ms
+	// of one another.
+	initialPeerWait = 450 * time.Millisecond
+	// standbyPeerWait replaces initialPeerWait on a standby daemon. Serving
+	// daemons need about 0.2 s to read the store, and no caller waits for a
+	// standby daemon.
+	standbyPeerWait = 2 * time.Second
+	// registryReadTimeout limits the reading of the daemon registry at the start.
+	// The store usually answers within milliseconds.
+	registryReadTimeout = 300 * time.Millisecond
+	// peerWaitInterval is the polling interval while a daemon waits for its peers.
+	peerWaitInterval = 25 * time.Millisecond
+	// minNotifyInterval is the minimum time between two change notifications to
+	// peers.
+	minNotifyInterval = 100 * time.Millisecond
+	// minStandbyFetchInterval is the minimum time between two fetches by a standby
+	// daemon.
+	minStandbyFetchInterval = 600 * time.Millisecond
+	// headerTimeout limits how long a client may take to send a request header.
+	headerTimeout = 10 * time.Second
+	// idleTimeout exceeds every idle timeout that a configuration may set.
+	idleTimeout = 90 * time.Second
 )
 
-// Daemon is one daemon of the query tier.
+// Daemon is one daemon of the query tier. It follows the store, exchanges
+// heartbeats with its peers and serves callers.
 type Daemon struct {
 	settings Settings
 	clock    clock.Clock
@@ -75,7 +82,7 @@
 	mirror   *mirror.Mirror
 	follower *mirror.Follower
 	fleet    *fleet.Fleet
-	serving  *serving
+	serving  *servingSet
 	engine   *query.Engine
 	suspects *admission.Suspects
 	reports  *targets.Reports
@@ -83,42 +90,43 @@
 
 	incarnation uint64
 	leaving     atomic.Bool
-	started     chan struct{} // Closed once configuration and targets are known.
-	starting    sync.Once
-	changes     chan struct{}
+	started     chan struct{} // Closed when the configuration and the targets are known.
+	startOnce   sync.Once
+	changed     chan struct{}
 	fetches     chan string
 
-	mu     sync.Mutex
-	roster *roster
-	groups map[string]*targets.Group
-	table  *route.Table
-	used   map[string]bool // Services that some route of the table uses.
+	mu           sync.Mutex
+	targetCache  *targetCache
+	groups       map[string]*targets.Group
+	table        *route.Table
+	usedServices map[string]bool // Services used by at least one route of the table.
 
-	configRevision uint64        // The store's revision of the configuration that was read last.
-	installed      time.Duration // Boot time at which the table came into force.
+	configRevision uint64        // Store revision of the last decoded configuration.
+	installedAt    time.Duration // Boot time at which the table was installed.
 
-	expiry clock.Timer
-	moves  map[string]*moveState // By service.
-	told   toldReports
+	expiryTimer   clock.Timer
+	moves         map[string]*moveState // By service.
+	reportCursors reportCursors
 
 	wg       sync.WaitGroup
 	servers  []*http.Server
 	failures chan error
 }
 
-// Run runs a daemon until ctx ends and its graceful shutdown is done.
+// Run runs a daemon until ctx is cancelled and its graceful shutdown has
+// finished. It returns an error if a listener cannot be opened or fails.
 func Run(ctx context.Context, s Settings, c clock.Clock, l zerolog.Logger) error {
 	return newDaemon(s, c, l).run(ctx)
 }
 
 func (d *Daemon) run(ctx context.Context) error {
 	s := d.settings
-	d.log.Info().Str("zone", s.Zone()).Str("callers", s.Callers()).Str("store", s.Store()).Msg("daemon starts")
+	d.log.Info().Str("zone", s.Domain()).Str("callers", s.Callers()).Str("store", s.Store()).Msg("daemon starts")
 	if err := d.listen(); err != nil {
 		return err
 	}
-	work, stop := context.WithCancel(context.Background())
-	d.start(work)
+	workCtx, stop := context.WithCancel(context.Background())
+	d.start(workCtx)
 	var err error
 	select {
 	case <-ctx.Done():
@@ -134,59 +142,59 @@
 func newDaemon(s Settings, c clock.Clock, l zerolog.Logger) *Daemon {
 	d := &Daemon{
 		settings: s, clock: c, log: l,
-		store:       platform.NewStore(s.Store()),
-		incarnation: rand.Uint64(),
-		started:     make(chan struct{}),
-		changes:     make(chan struct{}, 1),
-		fetches:     make(chan string, 1),
-		roster:      newRoster(l),
-		groups:      make(map[string]*targets.Group),
-		moves:       make(map[string]*moveState),
-		reports:     targets.NewReports(c),
-		told:        make(toldReports),
-		failures:    make(chan error, 1),
+		store:         platform.NewStore(s.Store()),
+		incarnation:   rand.Uint64(),
+		started:       make(chan struct{}),
+		changed:       make(chan struct{}, 1),
+		fetches:       make(chan string, 1),
+		targetCache:   newTargetCache(l),
+		groups:        make(map[string]*targets.Group),
+		moves:         make(map[string]*moveState),
+		reports:       targets.NewReports(c),
+		reportCursors: make(reportCursors),
+		failures:      make(chan error, 1),
 		peers: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{
-				Timeout:         fetchTimeout,
-				KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: peerProbeIdle, Interval: peerProbeIdle / 2, Count: 2},
+				Timeout:         peerCallTimeout,
+				KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: peerKeepAliveIdle, Interval: peerKeepAliveIdle / 2, Count: 2},
 			}).DialContext,
 		}},
 	}
-	d.mirror = mirror.New(d.changed, platform.KindConfig, platform.KindTargets, platform.KindMoves, platform.KindEvacuations, platform.KindDaemons)
-	d.serving = newServing(c, s.Name(), func(peer string) time.Time { return d.fleet.Heard(peer) })
-	d.follower = mirror.NewFollower(d.mirror, d.store.Reader(), c, l, d.watches, func() bool { return !d.serving.includesSelf() })
-	d.suspects = admission.NewSuspects(c, func([]*peerpb.CrashStrike) {}) // Heartbeats spread the strikes.
+	d.mirror = mirror.New(d.notifyChange, platform.KindConfig, platform.KindTargets, platform.KindMoves, platform.KindEvacuations, platform.KindDaemons)
+	d.serving = newServingSet(c, s.Name(), func(peer string) time.Time { return d.fleet.Heard(peer) })
+	d.follower = mirror.NewFollower(d.mirror, d.store.Reader(), c, l, d.shouldWatch, func() bool { return !d.serving.includesSelf() })
+	d.suspects = admission.NewSuspects(c, func([]*peerpb.CrashStrike) {}) // Heartbeats distribute the strikes.
 	d.engine = query.NewEngine(query.Clock(c), query.Log(l), query.Stamp(platform.Stamp),
 		query.Allow(allowed), query.Suspects(d.suspects))
 	return d
 }
 
-// allowed reports whether a target may serve a route at all.
+// allowed reports whether the route permits the target's region.
 func allowed(r *route.Route, e targets.Entry) bool { return r.AllowsRegion(e.Region()) }
 
 func (d *Daemon) start(ctx context.Context) {
 	d.fleet.Start()
-	seeds := d.seeds()
+	seeds := d.seedAddresses()
 	for _, address := range seeds {
 		d.fleet.Hello(address)
 	}
-	d.goes(func() { d.follow(ctx, slices.Contains(seeds, d.settings.PeerAddress())) })
-	d.goes(func() { d.join(ctx) })
-	d.goes(func() { d.fetch(ctx) })
-	d.goes(func() { d.applyChanges(ctx) })
-	d.goes(func() {
-		for clock.Sleep(ctx, d.clock, moveCheck) == nil {
-			d.stepMoves(ctx)
+	d.startWorker(func() { d.followStore(ctx, slices.Contains(seeds, d.settings.PeerAddress())) })
+	d.startWorker(func() { d.register(ctx) })
+	d.startWorker(func() { d.fetchChanges(ctx) })
+	d.startWorker(func() { d.applyChanges(ctx) })
+	d.startWorker(func() {
+		for clock.Sleep(ctx, d.clock, moveCheckInterval) == nil {
+			d.evaluateMoves(ctx)
 		}
 	})
-	d.goes(func() {
-		for clock.Sleep(ctx, d.clock, resizeEvery) == nil {
+	d.startWorker(func() {
+		for clock.Sleep(ctx, d.clock, resizeInterval) == nil {
 			d.resize()
 		}
 	})
 }
 
-func (d *Daemon) goes(f func()) {
+func (d *Daemon) startWorker(f func()) {
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
@@ -194,59 +202,61 @@
 	}()
 }
 
-// changed wakes the applier and tells the neighbours.
-func (d *Daemon) changed(string) {
+// notifyChange wakes applyChanges. It never blocks.
+func (d *Daemon) notifyChange(string) {
 	select {
-	case d.changes <- struct{}{}:
+	case d.changed <- struct{}{}:
 	default:
 	}
 }
 
-// applyChanges puts changes in force. A daemon that watches the store tells the
-// others at once.
+// applyChanges applies changes of the mirror until ctx ends. A daemon that
+// watches the store also sends a heartbeat at once, so that its peers fetch the
+// changes.
 func (d *Daemon) applyChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.changes:
+		case <-d.changed:
 			d.apply()
-			if d.watches() {
+			if d.shouldWatch() {
 				d.fleet.Beat(0)
-				_ = clock.Sleep(ctx, d.clock, notifyEvery) // Ends early only with ctx.
+				_ = clock.Sleep(ctx, d.clock, minNotifyInterval) // Ends early only with ctx.
 			}
 		}
 	}
 }
 
 const (
-	// acceptShare is the part of the shutdown time in which new requests are
-	// still accepted, because callers keep addresses for a while.
-	acceptShare = 0.55
-	// finishShare is the part after which the process ends in any case.
-	finishShare = 0.93
+	// acceptFraction is the fraction of the shutdown time during which new
+	// requests are accepted, because callers cache addresses.
+	acceptFraction = 0.55
+	// finishFraction is the fraction of the shutdown time after which unfinished
+	// requests are cut off.
+	finishFraction = 0.93
 )
 
-// drain tells callers and daemons that this one leaves, serves for a while and
-// then finishes what is under way.
+// drain announces the shutdown to callers and peers, keeps serving for a while
+// and then finishes the requests in progress.
 func (d *Daemon) drain() {
-	began := d.clock.Boot()
+	startedAt := d.clock.Boot()
 	d.leaving.Store(true)
 	d.log.Info().Msg("graceful shutdown begins")
 	d.fleet.Beat(0)
-	total := d.settings.Shutdown()
-	_ = clock.Sleep(context.Background(), d.clock, time.Duration(acceptShare*float64(total))) // Never ends early.
-	ctx, cancel := clock.WithDeadline(context.Background(), d.clock, began+time.Duration(finishShare*float64(total)))
+	total := d.settings.ShutdownTimeout()
+	_ = clock.Sleep(context.Background(), d.clock, time.Duration(acceptFraction*float64(total))) // Never ends early.
+	ctx, cancel := clock.WithDeadline(context.Background(), d.clock, startedAt+time.Duration(finishFraction*float64(total)))
 	defer cancel()
 	if err := d.servers[0].Shutdown(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("requests were cut off by the end of the shutdown")
+		d.log.Warn().Err(err).Msg("graceful shutdown timed out; cutting off the remaining requests")
 	}
 }
 
 func (d *Daemon) close() {
 	for _, s := range d.servers {
 		if err := s.Close(); err != nil {
-			d.log.Warn().Err(err).Msg("closing a listener failed")
+			d.log.Warn().Err(err).Msg("closing an HTTP server failed")
 		}
 	}
 	if err := d.fleet.Close(); err != nil {
--- a/node/daemon_test.go
+++ b/node/daemon_test.go
@@ -16,12 +16,12 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// Guards against a path on which some part does not fit the others: directory,
-// merged answers, single answers and the statuses of requests that cannot be
+// Guards against components that do not work together: it checks the directory,
+// merged and single answers, and the statuses of requests that cannot be
 // served.
-func TestWholePath(t *testing.T) {
+func TestRequestPath(t *testing.T) {
 	c := newCluster(t, 3, 4)
-	c.eventually("each daemon names all three", func() bool {
+	c.eventually("each daemon lists all three", func() bool {
 		for _, d := range c.daemons {
 			if len(c.resolve(d.ip)) != 3 {
 				return false
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against operators who cannot see which configuration a daemon has, how
-// old its knowledge is and what it cannot reach.
-func TestMetricsTellTheState(t *testing.T) {
+// Guards against missing metrics: operators must see the version and age of the
+// configuration, the age of the store's last answer and unreachable services.
+func TestMetricsReportDaemonState(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.send(c.daemons[0].ip, "GET", "/match/m", "m", "")
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", c.daemons[0].ip, operatorsPort))
@@ -77,15 +77,16 @@
 	}
 }
 
-// Guards against a daemon that keeps to an older configuration: because another
-// daemon watches for it, the watch hears nothing, or the history was dropped.
+// Guards against a daemon that keeps an older configuration because another
+// daemon watches for it, the watch delivers nothing, or the store dropped its
+// history.
 func TestConfigurationReachesAllDaemons(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(s *metastore.Store)
 	}{
 		{"sound", func(*metastore.Store) {}},
-		{"deaf watches", func(s *metastore.Store) { s.Inject(metastore.StalledWatches()) }},
+		{"stalled watches", func(s *metastore.Store) { s.Inject(metastore.StalledWatches()) }},
 		{"dropped history", func(s *metastore.Store) { s.Compact() }},
 		{"after an outage", func(s *metastore.Store) {
 			s.Inject(metastore.Down())
@@ -95,7 +96,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			cl := newCluster(t, 3, 1)
 			c.fault(cl.store)
-			cl.configure("/new/")
+			cl.putConfig("/new/")
 			for _, d := range cl.daemons {
 				cl.eventually("the new route is served by "+d.ip, func() bool {
 					return cl.send(d.ip, "GET", "/new/1", "n"+d.ip, "").status == http.StatusOK
@@ -108,12 +109,13 @@
 	}
 }
 
-// Guards against a daemon that cannot start while the store is away although
-// its neighbours know the configuration, and against 404 before any is known.
+// Guards against a daemon that cannot start during an outage of the store
+// although its peers know the configuration, and against status 404 before any
+// configuration is known.
 func TestStartDuringAnOutage(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	c.store.Inject(metastore.Hanging())
-	late := c.run("127.0.77.3")
+	late := c.startDaemon("127.0.77.3")
 	c.daemons = append(c.daemons, late)
 	c.eventually("the late daemon serves", func() bool {
 		r := c.ready(late.ip)
@@ -126,7 +128,7 @@
 }
 
 // Guards against requests that are cut off by a planned shutdown, and against
-// callers that are sent to a daemon that leaves.
+// callers that are sent to a daemon that is shutting down.
 func TestGracefulShutdown(t *testing.T) {
 	c := newCluster(t, 2, 2)
 	leaving := c.daemons[1]
@@ -143,17 +145,16 @@
 			t.Errorf("status %d for a request during the shutdown", r.status)
 		}
 	}
-	c.eventually("the other daemon no longer names the one that leaves", func() bool {
+	c.eventually("the other daemon no longer lists the one that shuts down", func() bool {
 		return !slices.ContainsFunc(c.resolve(c.daemons[0].ip), func(a string) bool { return strings.HasPrefix(a, leaving.ip+":") })
 	})
 	if c.ready(leaving.ip) {
-		t.Error("a leaving daemon counts as ready")
+		t.Error("a daemon reports ready while it shuts down")
 	}
 }
 
-// Guards against targets that are used although they drain or their failure
-// domain was taken out, and against targets that are forgotten at once when
-// their entries lapse in an outage.
+// Guards against requests to targets in an evacuated failure domain, and
+// against targets that stay unused after the evacuation ends.
 func TestDrainingAndEvacuation(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	d := c.daemons[0]
@@ -171,34 +172,34 @@
 	})
 }
 
-// Guards against entries that vanish and return within the time that lapsed
-// ones take, but whose target got nothing meanwhile, and against those that stay
-// away and are still used.
+// Guards against a target that gets no requests while its expired entry is
+// missing for a short time, and against a target that is used after its entry
+// has been removed for good.
 func TestVanishedEntriesLinger(t *testing.T) {
-	r := newRoster(nopLogger())
+	r := newTargetCache(nopLogger())
 	now := time.Unix(1000, 0)
-	ts := decoded(t, "i-1")
+	ts := decodeTargets(t, "i-1")
 	r.update(ts, now)
 	r.update(nil, now.Add(time.Second))
 	for _, c := range []struct {
 		after time.Duration
 		want  int
-	}{{0, 1}, {linger - time.Millisecond, 1}, {linger, 0}} {
+	}{{0, 1}, {missingTargetTTL - time.Millisecond, 1}, {missingTargetTTL, 0}} {
 		entries, _ := r.entries(now.Add(time.Second+c.after), nil)
 		if got := len(entries["s"]); got != c.want {
-			t.Errorf("%v after it vanished: %d entries, want %d", c.after, got, c.want)
+			t.Errorf("%v after it disappeared: %d entries, want %d", c.after, got, c.want)
 		}
 	}
 	r.update(ts, now.Add(10*time.Second))
 	if entries, _ := r.entries(now.Add(10*time.Second), nil); len(entries["s"]) != 1 {
-		t.Error("an entry that is back is not used")
+		t.Error("an entry that reappeared is not used")
 	}
 	if entries, _ := r.entries(now.Add(10*time.Second), map[string]bool{"a": true}); len(entries["s"]) != 0 {
 		t.Error("an entry of an evacuated failure domain is used")
 	}
 }
 
-func decoded(t *testing.T, names ...string) []platform.Target {
+func decodeTargets(t *testing.T, names ...string) []platform.Target {
 	t.Helper()
-	return platform.DecodeTargets(objects(names...), func(string) string { return "r" })
+	return platform.DecodeTargets(targetObjects(names...), func(string) string { return "r" })
 }
--- a/node/fixture_test.go
+++ b/node/fixture_test.go
@@ -11,8 +11,9 @@
 
 func nopLogger() zerolog.Logger { return zerolog.Nop() }
 
-// objects are entries of sound targets of service "s" in failure domain "a".
-func objects(names ...string) []mirror.Object {
+// targetObjects returns valid target entries of service "s" in failure domain
+// "a".
+func targetObjects(names ...string) []mirror.Object {
 	var os []mirror.Object
 	for _, n := range names {
 		os = append(os, mirror.NewObject(n, 1, []byte(`{"service":"s","address":"10.1.0.9:80","zone":"a","version":"v1","max_concurrency":2,"state":"ready","warmup_left_ms":0,"sequence":1}`), nil))
@@ -20,9 +21,9 @@
 	return os
 }
 
-// mixedRegistry returns 40 registered daemons in two failure domains, of which
-// the first four are strong.
-func mixedRegistry() []fleet.Candidate {
+// strongAndWeakCandidates returns 40 registered daemons in two failure domains.
+// The first four have a strong VM.
+func strongAndWeakCandidates() []fleet.Candidate {
 	var registry []fleet.Candidate
 	for i := range 40 {
 		capacity := 0.2
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -6,27 +6,27 @@
 	"medlaryard.example/medlaryard/meter"
 )
 
-// gauges sets the metrics that tell the present state of the daemon. They are
-// set when the metrics are read.
-func (d *Daemon) gauges() {
-	place, serving := d.serving.position()
+// updateGauges sets the gauges to the daemon's current state. It runs on each
+// scrape.
+func (d *Daemon) updateGauges() {
+	index, serving := d.serving.position()
 	meter.Gauge("daemons.serving", int64(serving))
 	meter.Gauge("daemons.alive", int64(len(d.fleet.Alive())))
-	meter.Gauge("daemon.serves", flag(place >= 0))
-	meter.Gauge("daemon.leaving", flag(d.leaving.Load()))
+	meter.Gauge("daemon.serves", boolGauge(index >= 0))
+	meter.Gauge("daemon.leaving", boolGauge(d.leaving.Load()))
 	meter.Gauge("store.age_ms", d.follower.StoreAge().Milliseconds())
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.table != nil {
 		meter.Gauge("configuration.version", int64(d.table.Version()))
-		meter.Gauge("configuration.age_ms", (d.clock.Boot() - d.installed).Milliseconds())
+		meter.Gauge("configuration.age_ms", (d.clock.Boot() - d.installedAt).Milliseconds())
 	}
-	reachable, all := d.reach()
+	reachable, all := d.countReachable()
 	meter.Gauge("services.used", int64(all))
 	meter.Gauge("services.unreachable", int64(all-reachable))
 	budget := math.Inf(1)
 	for name, g := range d.groups {
-		if d.used[name] {
+		if d.usedServices[name] {
 			budget = math.Min(budget, g.Budget())
 		}
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-func flag(b bool) int64 {
+func boolGauge(b bool) int64 {
 	if b {
 		return 1
 	}
--- a/node/listen.go
+++ b/node/listen.go
@@ -13,15 +13,15 @@
 	"medlaryard.example/medlaryard/platform"
 )
 
-// listen opens all listeners before anything else is started.
+// listen opens all listeners before any background work starts.
 func (d *Daemon) listen() error {
 	conn, err := net.ListenPacket("udp4", d.settings.PeerAddress())
 	if err != nil {
 		return eris.Wrap(err, "listen for heartbeats")
 	}
-	d.fleet = fleet.New(conn, d.describe, fleet.Clock(d.clock), fleet.Log(d.log), fleet.OnHeartbeat(d.heard),
-		fleet.Recipients(d.recipients))
-	neighbours, err := mirror.Handler(d.mirror)
+	d.fleet = fleet.New(conn, d.heartbeat, fleet.Clock(d.clock), fleet.Log(d.log), fleet.OnHeartbeat(d.handleHeartbeat),
+		fleet.Recipients(d.heartbeatRecipients))
+	peerHandler, err := mirror.Handler(d.mirror)
 	if err != nil {
 		return err
 	}
@@ -32,8 +32,8 @@
 		{d.settings.Callers(), platform.NewFront(d.engine, d.clock, d.leaving.Load, platform.Started(d.started))},
 		{d.settings.Ready(), platform.Ready(d.ready)},
 		{d.settings.Directory(), platform.Directory(d.addresses, d.settings.AddressTTL())},
-		{d.settings.Operators(), operatorsHandler(d.gauges)},
-		{d.settings.PeerAddress(), neighbours},
+		{d.settings.Operators(), operatorsHandler(d.updateGauges)},
+		{d.settings.PeerAddress(), peerHandler},
 	} {
 		if err := d.serve(l.address, l.handler); err != nil {
 			return err
@@ -49,8 +49,8 @@
 	}
 	s := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: callerHeaderTimeout,
-		IdleTimeout:       callerIdle,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
 	}
 	d.servers = append(d.servers, s)
 	d.wg.Add(1)
@@ -63,21 +63,21 @@
 	return nil
 }
 
-// fail ends the daemon with the first error.
+// fail stops the daemon with the first error. Later errors are only logged.
 func (d *Daemon) fail(err error) {
 	select {
 	case d.failures <- err:
 	default:
-		d.log.Error().Err(err).Msg("another failure while the daemon ends")
+		d.log.Error().Err(err).Msg("a listener failed while the daemon stops")
 	}
 }
 
-// operatorsHandler serves the metrics. Gauges brings those up to date that tell
-// the present state.
-func operatorsHandler(gauges func()) http.Handler {
+// operatorsHandler serves the metrics. It calls updateGauges before each
+// rendering.
+func operatorsHandler(updateGauges func()) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		gauges()
+		updateGauges()
 		if err := meter.WriteText(w); err != nil {
 			meter.Count("node.metrics_failed", 1)
 		}
--- a/node/moves.go
+++ b/node/moves.go
@@ -9,32 +9,32 @@
 	"medlaryard.example/medlaryard/upgrade"
 )
 
-// moveCheck is how often moves to another version are judged.
-const moveCheck = 250 * time.Millisecond
+// moveCheckInterval is the time between evaluations of version moves.
+const moveCheckInterval = 250 * time.Millisecond
 
-// moveState is one move as this daemon sees it.
+// moveState is this daemon's view of one version move.
 type moveState struct {
-	version string
-	since   time.Duration // Boot time at which the order became known.
-	state   upgrade.State
+	version   string
+	orderedAt time.Duration // Boot time at which this daemon received the order.
+	state     upgrade.State
 }
 
-// stepMoves judges all moves on the evidence of all daemons. Each daemon comes to
-// its own verdict, so none waits for another to stop a bad version; the daemon
-// that watches the store publishes it.
-func (d *Daemon) stepMoves(ctx context.Context) {
+// evaluateMoves evaluates all moves on the evidence of all daemons. Each daemon
+// decides for itself, so none waits for another to stop a bad version. The
+// daemon that watches the store publishes the result.
+func (d *Daemon) evaluateMoves(ctx context.Context) {
 	orders := platform.DecodeOrders(d.mirror.Objects(platform.KindMoves))
 	d.mu.Lock()
 	if d.table == nil {
 		d.mu.Unlock()
 		return
 	}
-	publish := make(map[platform.Order]upgrade.State)
+	toPublish := make(map[platform.Order]upgrade.State)
 	seen := make(map[string]bool, len(orders))
 	for _, o := range orders {
 		seen[o.Service()] = true
-		if state := d.stepMove(o); state != o.State() {
-			publish[o] = state
+		if state := d.evaluateMove(o); state != o.State() {
+			toPublish[o] = state
 		}
 	}
 	for service := range d.moves {
@@ -46,19 +46,20 @@
 		}
 	}
 	d.mu.Unlock()
-	if !d.watches() || !d.follower.Connected() {
+	if !d.shouldWatch() || !d.follower.Connected() {
 		return
 	}
-	for o, state := range publish {
+	for o, state := range toPublish {
 		d.publish(ctx, o, state)
 	}
 }
 
-// stepMove applies one order and returns the state of its move.
-func (d *Daemon) stepMove(o platform.Order) upgrade.State {
+// evaluateMove applies one order to its group and returns the state of the
+// move. The caller holds d.mu.
+func (d *Daemon) evaluateMove(o platform.Order) upgrade.State {
 	m := d.moves[o.Service()]
 	if m == nil || m.version != o.Version() {
-		m = &moveState{version: o.Version(), since: d.clock.Boot(), state: upgrade.Running}
+		m = &moveState{version: o.Version(), orderedAt: d.clock.Boot(), state: upgrade.Running}
 		d.moves[o.Service()] = m
 		d.log.Info().Str("service", o.Service()).Str("version", o.Version()).Dur("given", o.Given()).Msg("move ordered")
 	}
@@ -69,18 +70,18 @@
 	if g == nil {
 		return m.state
 	}
-	was, is := g.Evidence()
-	elapsed := d.clock.Boot() - m.since
+	oldTally, newTally := g.Evidence()
+	elapsed := d.clock.Boot() - m.orderedAt
 	for _, member := range d.fleet.Alive() {
 		for _, e := range member.Moves() {
 			if e.GetService() == o.Service() && e.GetVersion() == o.Version() {
-				was = was.Add(upgrade.NewTally(int(e.GetOldRequests()), int(e.GetOldBad())))
-				is = is.Add(upgrade.NewTally(int(e.GetNewRequests()), int(e.GetNewBad())))
+				oldTally = oldTally.Add(upgrade.NewTally(int(e.GetOldRequests()), int(e.GetOldBad())))
+				newTally = newTally.Add(upgrade.NewTally(int(e.GetNewRequests()), int(e.GetNewBad())))
 				elapsed = max(elapsed, time.Duration(e.GetElapsedMs())*time.Millisecond)
 			}
 		}
 	}
-	next := upgrade.Next(m.state, elapsed, o.Given(), was, is)
+	next := upgrade.Next(m.state, elapsed, o.Given(), oldTally, newTally)
 	if next == upgrade.Completed && o.State() != upgrade.Completed {
 		// The old targets stop once the state is published; until then the new
 		// version keeps its share.
@@ -89,25 +90,25 @@
 	}
 	if next != m.state {
 		d.log.Info().Str("service", o.Service()).Str("version", o.Version()).Str("state", string(next)).
-			Int("old_requests", was.Requests()).Int("old_bad", was.Bad()).
-			Int("new_requests", is.Requests()).Int("new_bad", is.Bad()).Dur("elapsed", elapsed).Msg("move changes its state")
+			Int("old_requests", oldTally.Requests()).Int("old_bad", oldTally.Bad()).
+			Int("new_requests", newTally.Requests()).Int("new_bad", newTally.Bad()).Dur("elapsed", elapsed).Msg("move changes its state")
 		m.state = next
 	}
 	g.Move(o.Version(), upgrade.Share(m.state, elapsed, o.Given()))
 	return m.state
 }
 
-// publish writes the state of a move. The store refuses it if the order has
-// changed meanwhile.
+// publish writes the state of a move to the store. The store rejects the write
+// if the order has changed in the meantime.
 func (d *Daemon) publish(ctx context.Context, o platform.Order, state upgrade.State) {
-	call, cancel := context.WithTimeout(ctx, fetchTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	if err := d.store.Publish(call, o, state); err != nil {
-		d.log.Warn().Err(err).Str("service", o.Service()).Str("state", string(state)).Msg("state of a move was not published; it is tried again")
+	if err := d.store.Publish(callCtx, o, state); err != nil {
+		d.log.Warn().Err(err).Str("service", o.Service()).Str("state", string(state)).Msg("publishing the state of a move failed; retrying at the next evaluation")
 	}
 }
 
-// moveEvidence is what this daemon saw of all moves, for the heartbeats.
+// moveEvidence returns this daemon's evidence on all moves, for its heartbeats.
 func (d *Daemon) moveEvidence() []*mirrorpb.MoveEvidence {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -117,12 +118,12 @@
 		if g == nil {
 			continue
 		}
-		was, is := g.Evidence()
+		oldTally, newTally := g.Evidence()
 		all = append(all, &mirrorpb.MoveEvidence{
 			Service: service, Version: m.version,
-			OldRequests: uint32(was.Requests()), OldBad: uint32(was.Bad()),
-			NewRequests: uint32(is.Requests()), NewBad: uint32(is.Bad()),
-			ElapsedMs: uint32((d.clock.Boot() - m.since).Milliseconds()),
+			OldRequests: uint32(oldTally.Requests()), OldBad: uint32(oldTally.Bad()),
+			NewRequests: uint32(newTally.Requests()), NewBad: uint32(newTally.Bad()),
+			ElapsedMs: uint32((d.clock.Boot() - m.orderedAt).Milliseconds()),
 		})
 	}
 	return all
--- a/node/moves_test.go
+++ b/node/moves_test.go
@@ -9,8 +9,8 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// Guards against moves that are never reported, a good version that is rolled
-// back and a bad one that completes, on the whole path with two daemons.
+// Guards against moves whose state is never published, a good version that is
+// rolled back and a bad version that completes, with two daemons end to end.
 func TestMovesEnd(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- /dev/null
+++ b/node/peers.go
@@ -0,0 +1,100 @@
+package node
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"medlaryard.example/medlaryard/clock"
+	"medlaryard.example/medlaryard/fleet"
+	"medlaryard.example/medlaryard/meter"
+	"medlaryard.example/medlaryard/mirror"
+	"medlaryard.example/medlaryard/mirror/mirrorpb"
+)
+
+// seedAddresses returns the peer addresses of the daemons listed in the
+// settings. All daemons use the same ports.
+func (d *Daemon) seedAddresses() []string {
+	own := netip.MustParseAddrPort(d.settings.PeerAddress()) // Validated when the settings were loaded.
+	var seeds []string
+	for _, p := range d.settings.Peers() {
+		a := netip.MustParseAddrPort(p)
+		seeds = append(seeds, netip.AddrPortFrom(a.Addr(), own.Port()).String())
+	}
+	return seeds
+}
+
+// register publishes this daemon's entry in the store, so that other daemons
+// discover it. It retries until it succeeds or ctx ends.
+func (d *Daemon) register(ctx context.Context) {
+	self := d.candidate()
+	for ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, registerTimeout)
+		err := d.store.Register(callCtx, self)
+		cancel()
+		if err == nil {
+			return
+		}
+		d.log.Warn().Err(err).Msg("registering this daemon in the store failed; retrying")
+		_ = clock.Sleep(ctx, d.clock, registerRetryDelay) // Ends early only with ctx.
+	}
+}
+
+// candidate returns this daemon's registry entry.
+func (d *Daemon) candidate() fleet.Candidate {
+	return fleet.NewCandidate(d.settings.Name(), d.settings.Domain(), d.settings.PeerAddress(), d.settings.Capacity())
+}
+
+// heartbeat returns the heartbeat that describes this daemon's current state.
+func (d *Daemon) heartbeat() *mirrorpb.Heartbeat {
+	return &mirrorpb.Heartbeat{
+		Name: d.settings.Name(), Incarnation: d.incarnation, Zone: d.settings.Domain(),
+		Front: d.settings.Callers(), Peer: d.settings.PeerAddress(),
+		Leaving: d.leaving.Load(), Serving: d.canServe(),
+		StoreAgeMs: uint32(min(d.follower.StoreAge(), time.Hour).Milliseconds()),
+		Versions:   d.mirror.Versions(),
+		Moves:      d.moveEvidence(),
+		Strikes:    d.suspects.CrashReports(maxHeartbeatStrikes),
+		Reports:    d.targetReports(),
+	}
+}
+
+// maxHeartbeatStrikes is the maximum number of crash strikes in a heartbeat.
+// Each takes 20 bytes.
+const maxHeartbeatStrikes = 32
+
+// handleHeartbeat merges another daemon's crash strikes and target reports. It
+// queues a fetch if that daemon has newer objects.
+func (d *Daemon) handleHeartbeat(m fleet.Member) {
+	d.suspects.Merge(m.Strikes())
+	d.mergeReports(m)
+	own := d.mirror.Versions()
+	for kind, v := range m.Versions() {
+		if ownVersion, ok := own[kind]; !ok || ownVersion < v {
+			select {
+			case d.fetches <- m.Peer():
+			default: // A fetch is queued already; the next heartbeat triggers another.
+			}
+			return
+		}
+	}
+}
+
+func (d *Daemon) fetchChanges(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case address := <-d.fetches:
+			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+			if err := mirror.Fetch(callCtx, d.peers, address, d.mirror); err != nil && ctx.Err() == nil {
+				meter.Count("node.fetch_failed", 1)
+				d.log.Warn().Err(err).Str("peer", address).Msg("fetching changes from a peer failed; waiting for its next heartbeat")
+			}
+			cancel()
+			if !d.serving.includesSelf() {
+				_ = clock.Sleep(ctx, d.clock, minStandbyFetchInterval) // Ends early only with ctx.
+			}
+		}
+	}
+}
--- a/node/reports.go
+++ b/node/reports.go
@@ -6,73 +6,76 @@
 	"medlaryard.example/medlaryard/targets"
 )
 
-// heardReports tells which failures another daemon has told already. Only the
-// goroutine that receives heartbeats uses it.
-type heardReports struct {
+// reportCursor records which reports of one daemon have been processed. Only
+// the goroutine that receives heartbeats uses it.
+type reportCursor struct {
 	incarnation uint64
-	next        uint64 // The number of the first report that is new.
+	nextNumber  uint64 // Number of the first unprocessed report.
 }
 
-// toldReports is what each other daemon has told, by its peer address.
-type toldReports map[string]*heardReports
+// reportCursors holds the cursors of all other daemons, by peer address.
+type reportCursors map[string]*reportCursor
 
-// by returns what the daemon at a peer address has told. With a new one, those
-// that are not known any more are forgotten.
-func (t toldReports) by(peer string, known func() []fleet.Member) *heardReports {
-	h := t[peer]
-	if h != nil {
-		return h
+// cursor returns the cursor for a peer address and creates it if necessary.
+// Creating one removes the cursors of daemons that are no longer known.
+func (c reportCursors) cursor(peer string, known func() []fleet.Member) *reportCursor {
+	cursor := c[peer]
+	if cursor != nil {
+		return cursor
 	}
-	kept := make(map[string]bool)
+	present := make(map[string]bool)
 	for _, m := range known() {
-		kept[m.Peer()] = true
+		present[m.Peer()] = true
 	}
-	for p := range t {
-		if !kept[p] {
-			delete(t, p)
+	for p := range c {
+		if !present[p] {
+			delete(c, p)
 		}
 	}
-	h = &heardReports{}
-	t[peer] = h
-	return h
+	cursor = &reportCursor{}
+	c[peer] = cursor
+	return cursor
 }
 
-// fresh returns the reports of a heartbeat that were not taken in before, by the
-// fingerprint of the target.
-func (h *heardReports) fresh(incarnation uint64, r *mirrorpb.TargetReports) map[uint64][]targets.Report {
-	if h.incarnation != incarnation {
-		*h = heardReports{incarnation: incarnation}
+// newReports returns the reports of a heartbeat that have not been processed
+// yet, by target fingerprint. It restarts the numbering when the sender has a
+// new incarnation.
+func (c *reportCursor) newReports(incarnation uint64, r *mirrorpb.TargetReports) map[uint64][]targets.Report {
+	if c.incarnation != incarnation {
+		*c = reportCursor{incarnation: incarnation}
 	}
-	told := make(map[uint64]int)
+	counts := make(map[uint64]int)
 	for _, w := range r.GetReports() {
-		told[w.GetTarget()]++
+		counts[w.GetTarget()]++
 	}
-	var fresh map[uint64][]targets.Report
-	for i, w := range r.GetReports() {
+	var unseen map[uint64][]targets.Report
+	for i, report := range r.GetReports() {
 		number := r.GetFirst() + uint64(i)
-		if number < h.next {
+		if number < c.nextNumber {
 			continue
 		}
-		h.next = number + 1
-		if w.GetTenths() == 0 && told[w.GetTarget()] < repeated {
-			continue // A single failure would turn all daemons to the other targets at once.
+		c.nextNumber = number + 1
+		if report.GetTenths() == 0 && counts[report.GetTarget()] < minRepeatedFailures {
+			continue // One failure would divert all daemons to the other targets at once.
 		}
-		if fresh == nil {
-			fresh = make(map[uint64][]targets.Report)
+		if unseen == nil {
+			unseen = make(map[uint64][]targets.Report)
 		}
-		fresh[w.GetTarget()] = append(fresh[w.GetTarget()], targets.NewReport(w.GetTarget(), float64(w.GetTenths())/reportScale))
+		unseen[report.GetTarget()] = append(unseen[report.GetTarget()], targets.NewReport(report.GetTarget(), float64(report.GetTenths())/latencyRatioScale))
 	}
-	return fresh
+	return unseen
 }
 
-// repeated is how often a target must have failed at another daemon within the
-// second that reports cover to count here, unless it was silent.
-const repeated = 2
+// minRepeatedFailures is how often a target must have failed at another daemon,
+// within the second that its reports cover, for the failures to count here.
+// Silence of a target counts at once.
+const minRepeatedFailures = 2
 
-// reportScale is the factor of latencies in reports, which have tenths.
-const reportScale = 10
+// latencyRatioScale converts latency ratios to the tenths that reports carry.
+const latencyRatioScale = 10
 
-// targetReports is what this daemon tells of failures it saw, for the heartbeats.
+// targetReports returns the recent failures that this daemon observed, for its
+// heartbeats. It returns nil if there are none.
 func (d *Daemon) targetReports() *mirrorpb.TargetReports {
 	first, reports := d.reports.Recent()
 	if len(reports) == 0 {
@@ -80,25 +83,25 @@
 	}
 	w := &mirrorpb.TargetReports{First: first}
 	for _, r := range reports {
-		w.Reports = append(w.Reports, &mirrorpb.TargetReport{Target: r.Target(), Tenths: uint32(r.Ratio() * reportScale)})
+		w.Reports = append(w.Reports, &mirrorpb.TargetReport{Target: r.Target(), Tenths: uint32(r.Ratio() * latencyRatioScale)})
 	}
 	return w
 }
 
-// hearReports takes in failures that another daemon saw, so that a bad target
-// need not be found out by each daemon on its own.
-func (d *Daemon) hearReports(m fleet.Member) {
+// mergeReports adds the failures that another daemon observed, so that daemons
+// need not discover a bad target one by one.
+func (d *Daemon) mergeReports(m fleet.Member) {
 	if !d.serving.includesSelf() || m.Name() == d.settings.Name() {
 		return
 	}
-	fresh := d.told.by(m.Peer(), d.fleet.Known).fresh(m.Incarnation(), m.Reports())
-	if len(fresh) == 0 {
+	reports := d.reportCursors.cursor(m.Peer(), d.fleet.Known).newReports(m.Incarnation(), m.Reports())
+	if len(reports) == 0 {
 		return
 	}
 	d.mu.Lock()
 	groups := d.groups
 	d.mu.Unlock()
 	for _, g := range groups {
-		g.MergeReports(fresh)
+		g.MergeReports(reports)
 	}
 }
--- a/node/reports_test.go
+++ b/node/reports_test.go
@@ -8,10 +8,10 @@
 	"medlaryard.example/medlaryard/mirror/mirrorpb"
 )
 
-// Guards against a failure that counts several times because heartbeats repeat
-// it, against one that is missed because a heartbeat was lost or its sender has
-// started again, and against a single failure that shuts a target out everywhere.
-func TestReportsCountOnce(t *testing.T) {
+// Guards against a report that counts several times because heartbeats repeat
+// it, a report that is missed after a lost heartbeat or a restart of its
+// sender, and a single failure that excludes a target on all daemons.
+func TestReportCursorNewReports(t *testing.T) {
 	message := func(first uint64, targets ...uint64) *mirrorpb.TargetReports {
 		w := &mirrorpb.TargetReports{First: first}
 		for _, id := range targets {
@@ -26,7 +26,7 @@
 		}
 		return w
 	}
-	h := &heardReports{}
+	cursor := &reportCursor{}
 	for _, c := range []struct {
 		name        string
 		incarnation uint64
@@ -43,7 +43,7 @@
 		{"a second one", 2, failures(1, 4, 4), map[uint64]int{4: 1}},
 	} {
 		got := make(map[uint64]int)
-		for id, reports := range h.fresh(c.incarnation, c.message) {
+		for id, reports := range cursor.newReports(c.incarnation, c.message) {
 			got[id] = len(reports)
 			if r := reports[0].Ratio(); r != 2.5 && r != 0 {
 				t.Errorf("%s: ratio %v, want 2.5 or 0", c.name, r)
--- a/node/serving.go
+++ b/node/serving.go
@@ -10,74 +10,75 @@
 	"medlaryard.example/medlaryard/fleet"
 )
 
-// serving tells which daemons callers are sent to. All others stand by: they
-// know the configuration and the targets and can take over within two seconds.
-type serving struct {
-	clock clock.Clock
-	name  string
-	heard func(peer string) time.Time
-
-	mu         sync.Mutex
-	candidates []fleet.Candidate
-	selected   []fleet.Candidate
-	expected   map[string]time.Time // Since when heartbeats of a daemon are expected.
-	lost       map[string]bool
+// servingSet tracks which daemons serve callers. All others are on standby:
+// they hold the configuration and the targets and take over within two seconds.
+type servingSet struct {
+	clock         clock.Clock
+	name          string
+	lastHeartbeat func(peer string) time.Time
+
+	mu            sync.Mutex
+	candidates    []fleet.Candidate
+	selected      []fleet.Candidate
+	expectedSince map[string]time.Time // When heartbeats of a daemon became due, by name.
+	lost          map[string]bool
 }
 
-func newServing(c clock.Clock, name string, heard func(peer string) time.Time) *serving {
-	return &serving{clock: c, name: name, heard: heard, expected: make(map[string]time.Time), lost: make(map[string]bool)}
+func newServingSet(c clock.Clock, name string, lastHeartbeat func(peer string) time.Time) *servingSet {
+	return &servingSet{clock: c, name: name, lastHeartbeat: lastHeartbeat, expectedSince: make(map[string]time.Time), lost: make(map[string]bool)}
 }
 
-// register sets the daemons that are registered in the store.
-func (s *serving) register(cs []fleet.Candidate) {
+// setCandidates replaces the daemons registered in the store.
+func (s *servingSet) setCandidates(cs []fleet.Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.candidates = cs
 	s.selectLocked()
 }
 
-// refresh follows gained and lost daemons.
-func (s *serving) refresh() {
+// refresh updates the lost daemons from their last heartbeats and selects the
+// serving daemons again.
+func (s *servingSet) refresh() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for _, c := range s.candidates {
-		since, ok := s.expected[c.Name()]
+		since, ok := s.expectedSince[c.Name()]
 		if !ok || c.Name() == s.name {
 			continue
 		}
-		if heard := s.heard(c.Peer()); heard.After(since) {
-			since = heard
+		if last := s.lastHeartbeat(c.Peer()); last.After(since) {
+			since = last
 		}
 		s.lost[c.Name()] = now.Sub(since) > fleet.LostAfter
 	}
 	s.selectLocked()
 }
 
-// selectLocked selects the serving daemons. Daemons that stand by send no
-// heartbeats, so one that is newly selected has time to begin.
-func (s *serving) selectLocked() {
+// selectLocked selects the serving daemons. The caller holds s.mu. Standby
+// daemons send no heartbeats, so a newly selected one gets time to start.
+func (s *servingSet) selectLocked() {
 	s.selected = fleet.Select(s.candidates, func(name string) bool { return s.lost[name] })
 	now := s.clock.Now()
 	for _, c := range s.selected {
-		if _, ok := s.expected[c.Name()]; !ok {
-			s.expected[c.Name()] = now
+		if _, ok := s.expectedSince[c.Name()]; !ok {
+			s.expectedSince[c.Name()] = now
 		}
 	}
 }
 
-// includesSelf reports whether this daemon serves callers. One that is not yet
-// registered does, since the registry may be out of reach.
-func (s *serving) includesSelf() bool {
+// includesSelf reports whether this daemon serves callers. An unregistered
+// daemon does, since the registry may be unreachable.
+func (s *servingSet) includesSelf() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return indexOf(s.candidates, s.name) < 0 || indexOf(s.selected, s.name) >= 0
 }
 
-// position returns this daemon's place among the daemons that share the limits
-// on targets, and their number. The place is negative for one that stands by. A
-// daemon that knows no other one takes itself for the only one.
-func (s *serving) position() (place, of int) {
+// position returns this daemon's index among the daemons that share the limits
+// on targets, and their number. The index of a standby daemon is negative. A
+// daemon that knows no others counts as the only one.
+func (s *servingSet) position() (index, count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.selected) == 0 {
@@ -86,29 +87,30 @@
 	return indexOf(s.selected, s.name), len(s.selected)
 }
 
-// connectsAhead reports whether this daemon makes connections to targets before
-// they are needed: only if the registry names it as one that serves. As long as
-// the registry is not known all daemons would, and targets take only so many.
-func (s *serving) connectsAhead() bool {
+// preconnects reports whether this daemon opens connections to targets before
+// they are needed. It does so only if the registry selects it to serve. While
+// the registry is unknown all daemons would connect, and targets accept only a
+// limited number of connections.
+func (s *servingSet) preconnects() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return indexOf(s.selected, s.name) >= 0
 }
 
-// indexOf returns the place of the daemon of that name, or -1.
+// indexOf returns the index of the daemon with the given name, or -1.
 func indexOf(cs []fleet.Candidate, name string) int {
 	return slices.IndexFunc(cs, func(c fleet.Candidate) bool { return c.Name() == name })
 }
 
-// registered returns all daemons that are registered.
-func (s *serving) registered() []fleet.Candidate {
+// registered returns all registered daemons.
+func (s *servingSet) registered() []fleet.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.candidates
 }
 
-// names returns the names of the daemons that serve.
-func (s *serving) names() map[string]bool {
+// names returns the names of the serving daemons.
+func (s *servingSet) names() map[string]bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	names := make(map[string]bool, len(s.selected))
@@ -118,31 +120,31 @@
 	return names
 }
 
-// standbyRounds is after how many heartbeats to the serving daemons one goes to
-// those that stand by.
-const standbyRounds = 2
+// standbyHeartbeatRounds is the number of heartbeat rounds per heartbeat to
+// standby daemons.
+const standbyHeartbeatRounds = 2
 
-// recipients returns to whom a heartbeat goes. Only a daemon that serves sends
-// any.
-func (d *Daemon) recipients(round int) []string {
+// heartbeatRecipients returns the peer addresses to which the heartbeat of a
+// round is sent. Standby daemons send none.
+func (d *Daemon) heartbeatRecipients(round int) []string {
 	d.serving.refresh()
 	if !d.serving.includesSelf() {
 		return nil
 	}
 	serving := d.serving.names()
-	to := make(map[string]bool)
+	addresses := make(map[string]bool)
 	for _, c := range d.serving.registered() {
-		if round%standbyRounds == 0 || serving[c.Name()] {
-			to[c.Peer()] = true
+		if round%standbyHeartbeatRounds == 0 || serving[c.Name()] {
+			addresses[c.Peer()] = true
 		}
 	}
-	if len(to) == 0 {
-		for _, a := range d.seeds() {
-			to[a] = true
+	if len(addresses) == 0 {
+		for _, a := range d.seedAddresses() {
+			addresses[a] = true
 		}
 	}
 	for _, m := range d.fleet.Alive() {
-		to[m.Peer()] = true
+		addresses[m.Peer()] = true
 	}
-	return slices.Collect(maps.Keys(to))
+	return slices.Collect(maps.Keys(addresses))
 }
--- a/node/settings.go
+++ b/node/settings.go
@@ -14,13 +14,13 @@
 	file settingsFile
 }
 
-// settingsFile is the layout of the file. Durations are milliseconds.
+// settingsFile is the layout of the YAML file. Durations are in milliseconds.
 type settingsFile struct {
-	Name   string            `yaml:"name"`
-	Zone   string            `yaml:"zone"`
-	Region string            `yaml:"region"`
-	Zones  map[string]string `yaml:"zones"`
-	Listen struct {
+	Name           string            `yaml:"name"`
+	Domain         string            `yaml:"zone"`
+	Region         string            `yaml:"region"`
+	RegionByDomain map[string]string `yaml:"zones"`
+	Listen         struct {
 		Callers   string `yaml:"callers"`
 		Ready     string `yaml:"ready"`
 		Directory string `yaml:"directory"`
@@ -48,12 +48,12 @@
 const (
 	defaultAddressTTL = time.Second
 	defaultShutdown   = 6 * time.Second
-	// defaultColdOvershoot lets a cold target get its rate and no more.
+	// defaultColdOvershoot limits a cold target to its warm-up rate.
 	defaultColdOvershoot = 1.0
 )
 
-// LoadSettings reads and checks the file at path. Errors name the position of
-// the fault.
+// LoadSettings reads and validates the YAML file at path. Errors name the
+// position or the key of the fault.
 func LoadSettings(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -62,7 +62,8 @@
 	return DecodeSettings(path, text)
 }
 
-// DecodeSettings reads the text of a settings file; name stands in errors.
+// DecodeSettings decodes and validates the YAML text of a settings file. Errors
+// refer to the file by name.
 func DecodeSettings(name string, text []byte) (Settings, error) {
 	var s Settings
 	if err := yaml.UnmarshalWithOptions(text, &s.file, yaml.Strict()); err != nil {
@@ -76,10 +77,10 @@
 
 func (f *settingsFile) check() error {
 	if f.Name == "" {
-		return eris.New("name: is missing")
+		return eris.New("name: must not be empty")
 	}
-	if f.Zone == "" {
-		return eris.New("zone: is missing")
+	if f.Domain == "" {
+		return eris.New("zone: must not be empty")
 	}
 	for _, a := range []struct{ path, address string }{
 		{"listen.callers", f.Listen.Callers},
@@ -116,40 +117,44 @@
 // Name returns the daemon's name.
 func (s Settings) Name() string { return s.file.Name }
 
-// Zone returns the daemon's failure domain.
-func (s Settings) Zone() string { return s.file.Zone }
+// Domain returns the daemon's failure domain.
+func (s Settings) Domain() string { return s.file.Domain }
 
 // Region returns the daemon's region.
 func (s Settings) Region() string { return s.file.Region }
 
-// RegionOf returns the region of a failure domain, "" if it is not known.
-func (s Settings) RegionOf(zone string) string { return s.file.Zones[zone] }
+// RegionOf returns the region of a failure domain, or "" if it is unknown.
+func (s Settings) RegionOf(domain string) string { return s.file.RegionByDomain[domain] }
 
 // Callers returns the address of the callers' listener.
 func (s Settings) Callers() string { return s.file.Listen.Callers }
 
-// Ready returns the address of the readiness check.
+// Ready returns the address of the readiness check's listener.
 func (s Settings) Ready() string { return s.file.Listen.Ready }
 
-// Directory returns the address at which callers ask for addresses.
+// Directory returns the address of the listener at which callers look up daemon
+// addresses.
 func (s Settings) Directory() string { return s.file.Listen.Directory }
 
-// Operators returns the address of metrics and status.
+// Operators returns the address of the listener for metrics.
 func (s Settings) Operators() string { return s.file.Listen.Operators }
 
-// PeerAddress returns the address for other daemons, over TCP and UDP.
+// PeerAddress returns this daemon's address for other daemons, used over TCP
+// and UDP.
 func (s Settings) PeerAddress() string { return s.file.Listen.Peers }
 
-// Peers returns operators' addresses of other daemons to start from.
+// Peers returns the operators' addresses of the daemons to contact at the
+// start.
 func (s Settings) Peers() []string { return s.file.Peers }
 
-// Capacity returns the VM's part of a core, 0 if it is not known.
+// Capacity returns the capacity of the VM in CPU cores, or 0 if it is unknown.
 func (s Settings) Capacity() float64 { return s.file.Capacity }
 
 // Store returns the address of the platform's store.
 func (s Settings) Store() string { return s.file.Store.Address }
 
-// AddressTTL returns how long callers may keep the addresses they were told.
+// AddressTTL returns how long callers may cache the addresses from the
+// directory.
 func (s Settings) AddressTTL() time.Duration {
 	if s.file.AddressTTLMS == 0 {
 		return defaultAddressTTL
@@ -157,22 +162,24 @@
 	return time.Duration(s.file.AddressTTLMS) * time.Millisecond
 }
 
-// Shutdown returns the time from SIGTERM until the process is killed.
-func (s Settings) Shutdown() time.Duration {
+// ShutdownTimeout returns the time between SIGTERM and the kill of the process.
+func (s Settings) ShutdownTimeout() time.Duration {
 	if s.file.ShutdownMS == 0 {
 		return defaultShutdown
 	}
 	return time.Duration(s.file.ShutdownMS) * time.Millisecond
 }
 
-// ExtraRatio returns how many extra sends a request allows, over all daemons.
+// ExtraRatio returns the number of extra sends allowed per request, across all
+// daemons.
 func (s Settings) ExtraRatio() float64 { return s.file.Extra.Ratio }
 
-// ExtraSlack returns how many extra sends are allowed beside the ratio.
+// ExtraSlack returns the number of extra sends allowed in addition to the
+// ratio.
 func (s Settings) ExtraSlack() float64 { return s.file.Extra.Slack }
 
-// ColdOvershoot returns how many times its rate a cold target bears within one
-// second, from all daemons.
+// ColdOvershoot returns the load that a cold target accepts within one second
+// from all daemons, as a multiple of its warm-up rate.
 func (s Settings) ColdOvershoot() float64 {
 	if s.file.Cold.Overshoot == 0 {
 		return defaultColdOvershoot
@@ -180,8 +187,10 @@
 	return s.file.Cold.Overshoot
 }
 
-// ColdSlack returns how many requests more than that it bears.
+// ColdSlack returns the number of requests allowed to a cold target in addition
+// to that load.
 func (s Settings) ColdSlack() float64 { return s.file.Cold.Slack }
 
-// LogLevel returns the least severe level that is logged, "" for the default.
+// LogLevel returns the minimum severity of logged messages, or "" for the
+// default.
 func (s Settings) LogLevel() string { return s.file.LogLevel }
--- a/node/slow_test.go
+++ b/node/slow_store_test.go
@@ -8,10 +8,9 @@
 	"medlaryard.example/medlaryard/standin/metastore"
 )
 
-// Guards against daemons that give up each call to a slow store before it
-// answers, and so never learn the configuration after they all started anew.
-// Found on a day that was drawn with the score of tamasha-yard-grown
-// (fresh-7e39).
+// Guards against daemons that time out each call to a slow store before it
+// answers, and so never receive the configuration after all of them restarted.
+// First seen in the benchmark scenario fresh-7e39.
 func TestStartWithASlowStore(t *testing.T) {
 	c := newCluster(t, 2, 1)
 	for _, d := range c.daemons {
@@ -22,7 +21,7 @@
 		d.done <- nil
 	}
 	c.store.Inject(metastore.Slow(2500 * time.Millisecond))
-	c.daemons = []*running{c.run("127.0.77.1"), c.run("127.0.77.2")}
+	c.daemons = []*runningDaemon{c.startDaemon("127.0.77.1"), c.startDaemon("127.0.77.2")}
 	for _, d := range c.daemons {
 		c.eventually("the daemon serves", func() bool {
 			return c.ready(d.ip) && c.send(d.ip, "GET", "/match/1", "s"+d.ip, "").status == http.StatusOK
--- a/node/watching.go
+++ b/node/watching.go
@@ -11,74 +11,75 @@
 	"medlaryard.example/medlaryard/platform"
 )
 
-// follow follows the store. A daemon that others start from, or that callers are
-// sent to, reads it at once; the others first wait for what these tell them, which
-// spares the store.
-func (d *Daemon) follow(ctx context.Context, seed bool) {
+// followStore keeps the mirror up to date until ctx ends. Seed daemons and
+// daemons selected to serve read the store at once. The others first wait for
+// data from these, which reduces the load on the store.
+func (d *Daemon) followStore(ctx context.Context, seed bool) {
 	wait := time.Duration(0)
 	if !seed {
-		wait = d.startWait(ctx)
+		wait = d.initialWait(ctx)
 	}
-	for waited := time.Duration(0); waited < wait && !d.mirror.Known(platform.KindTargets); waited += seedCheck {
-		if clock.Sleep(ctx, d.clock, seedCheck) != nil {
+	for waited := time.Duration(0); waited < wait && !d.mirror.Known(platform.KindTargets); waited += peerWaitInterval {
+		if clock.Sleep(ctx, d.clock, peerWaitInterval) != nil {
 			return
 		}
 	}
 	d.follower.Run(ctx,
-		mirror.Leading(mirror.NewKind(platform.KindConfig, configReread, 0)),
-		mirror.NewKind(platform.KindTargets, targetsReread, gatherChanges),
-		mirror.NewKind(platform.KindMoves, ordersReread, 0),
-		mirror.NewKind(platform.KindEvacuations, ordersReread, 0),
-		mirror.NewKind(platform.KindDaemons, ordersReread, gatherChanges))
+		mirror.Leading(mirror.NewKind(platform.KindConfig, configRelistInterval, 0)),
+		mirror.NewKind(platform.KindTargets, targetsRelistInterval, changeBatchDelay),
+		mirror.NewKind(platform.KindMoves, ordersRelistInterval, 0),
+		mirror.NewKind(platform.KindEvacuations, ordersRelistInterval, 0),
+		mirror.NewKind(platform.KindDaemons, ordersRelistInterval, changeBatchDelay))
 }
 
-// startWait returns how long to wait for other daemons before reading the store,
-// by the registry. When the system starts for the first time it names none.
-func (d *Daemon) startWait(ctx context.Context) time.Duration {
-	call, cancel := context.WithTimeout(ctx, registryTimeout)
+// initialWait returns how long to wait for data from other daemons before
+// reading the store, depending on the daemon registry. The registry is empty
+// when the system starts for the first time.
+func (d *Daemon) initialWait(ctx context.Context) time.Duration {
+	callCtx, cancel := context.WithTimeout(ctx, registryReadTimeout)
 	defer cancel()
-	registered, err := d.store.Daemons(call)
+	registered, err := d.store.Daemons(callCtx)
 	switch {
 	case err != nil:
-		d.log.Warn().Err(err).Msg("the registry of daemons was not read at the start; waiting for other daemons")
-		return seedWait
+		d.log.Warn().Err(err).Msg("reading the daemon registry failed at the start; waiting for data from other daemons")
+		return initialPeerWait
 	case len(registered) == 0:
-		return seedWait
-	case selects(registered, d.candidate()):
+		return initialPeerWait
+	case wouldServe(registered, d.candidate()):
 		return 0
 	}
-	return standbyWait
+	return standbyPeerWait
 }
 
-// selects reports whether a daemon, which may not be registered yet, is among
-// those that serve when none is lost.
-func selects(registered []fleet.Candidate, self fleet.Candidate) bool {
+// wouldServe reports whether self, which may not be registered yet, would be
+// selected to serve if no daemon is lost.
+func wouldServe(registered []fleet.Candidate, self fleet.Candidate) bool {
 	all := slices.Clone(registered)
 	if i := indexOf(all, self.Name()); i >= 0 {
-		all[i] = self // Its entry may be that of an earlier VM.
+		all[i] = self // The entry may describe an earlier VM.
 	} else {
 		all = append(all, self)
 	}
 	return indexOf(fleet.Select(all, func(string) bool { return false }), self.Name()) >= 0
 }
 
-// watches reports whether this daemon is to watch the store. The first by name
-// of the serving daemons that reach the store does; another takes over within
-// about two seconds, before a change must be in force. One that stands by watches
-// only if no other does.
-func (d *Daemon) watches() bool {
-	others, before := 0, 0
+// shouldWatch reports whether this daemon watches the store: the first by name
+// of the serving daemons that reach the store. If that daemon fails, another
+// takes over within about two seconds, before a change must be in force. A
+// standby daemon watches only if no other daemon reaches the store.
+func (d *Daemon) shouldWatch() bool {
+	others, preceding := 0, 0
 	for _, m := range d.fleet.Alive() {
 		if m.Leaving() || m.StoreAge() >= mirror.FreshContact {
 			continue
 		}
 		others++
 		if m.Name() < d.settings.Name() {
-			before++
+			preceding++
 		}
 	}
 	if !d.serving.includesSelf() {
 		return others == 0
 	}
-	return before == 0
+	return preceding == 0
 }
--- a/node/watching_test.go
+++ b/node/watching_test.go
@@ -8,13 +8,13 @@
 	"medlaryard.example/medlaryard/fleet"
 )
 
-// Guards against daemons that all read the whole store when the system starts
-// again, and against those that serve callers waiting for others to start.
-func TestWhoReadsTheStoreAtTheStart(t *testing.T) {
-	registered := mixedRegistry()
+// Guards against all daemons reading the whole store when the system restarts,
+// and against serving daemons that wait for others to start.
+func TestInitialStoreReaders(t *testing.T) {
+	registered := strongAndWeakCandidates()
 	var reads []string
 	for _, c := range registered {
-		if selects(registered, c) {
+		if wouldServe(registered, c) {
 			reads = append(reads, c.Name())
 		}
 	}
@@ -26,7 +26,7 @@
 		want     bool
 	}{{0.8, true}, {0.2, false}} {
 		replacement := fleet.NewCandidate("new", "z0", "10.0.1.1:7", c.capacity)
-		if got := selects(registered, replacement); got != c.want {
+		if got := wouldServe(registered, replacement); got != c.want {
 			t.Errorf("a new daemon of capacity %v reads the store at once: %v, want %v", c.capacity, got, c.want)
 		}
 	}
