--- a/node/listen.go
+++ b/node/listen.go
@@ -29,7 +29,7 @@
 		address string
 		handler http.Handler
 	}{
-		{d.settings.Callers(), platform.NewFront(d.engine, d.clock, d.leaving.Load, platform.Started(d.started))},
+		{d.settings.Callers(), platform.NewHandler(d.engine, d.clock, d.leaving.Load, platform.Started(d.started))},
 		{d.settings.Ready(), platform.Ready(d.ready)},
 		{d.settings.Directory(), platform.Directory(d.addresses, d.settings.AddressTTL())},
 		{d.settings.Operators(), operatorsHandler(d.updateGauges)},
--- a/node/moves.go
+++ b/node/moves.go
@@ -61,7 +61,7 @@
 	if m == nil || m.version != o.Version() {
 		m = &moveState{version: o.Version(), orderedAt: d.clock.Boot(), state: upgrade.Running}
 		d.moves[o.Service()] = m
-		d.log.Info().Str("service", o.Service()).Str("version", o.Version()).Dur("given", o.Given()).Msg("move ordered")
+		d.log.Info().Str("service", o.Service()).Str("version", o.Version()).Dur("given", o.Duration()).Msg("move ordered")
 	}
 	if o.State() == upgrade.Completed || o.State() == upgrade.RolledBack {
 		m.state = o.State()
@@ -81,11 +81,11 @@
 			}
 		}
 	}
-	next := upgrade.Next(m.state, elapsed, o.Given(), oldTally, newTally)
+	next := upgrade.Next(m.state, elapsed, o.Duration(), oldTally, newTally)
 	if next == upgrade.Completed && o.State() != upgrade.Completed {
 		// The old targets stop once the state is published; until then the new
 		// version keeps its share.
-		g.Move(o.Version(), upgrade.Share(upgrade.Running, elapsed, o.Given()))
+		g.Move(o.Version(), upgrade.Share(upgrade.Running, elapsed, o.Duration()))
 		return next
 	}
 	if next != m.state {
@@ -94,7 +94,7 @@
 			Int("new_requests", newTally.Requests()).Int("new_bad", newTally.Bad()).Dur("elapsed", elapsed).Msg("move changes its state")
 		m.state = next
 	}
-	g.Move(o.Version(), upgrade.Share(m.state, elapsed, o.Given()))
+	g.Move(o.Version(), upgrade.Share(m.state, elapsed, o.Duration()))
 	return m.state
 }
 
@@ -103,7 +103,7 @@
 func (d *Daemon) publish(ctx context.Context, o platform.Order, state upgrade.State) {
 	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	if err := d.store.Publish(callCtx, o, state); err != nil {
+	if err := d.store.PublishState(callCtx, o, state); err != nil {
 		d.log.Warn().Err(err).Str("service", o.Service()).Str("state", string(state)).Msg("publishing the state of a move failed; retrying at the next evaluation")
 	}
 }
