--- a/fleet/candidate.go
+++ b/fleet/candidate.go
@@ -7,64 +7,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is a daemon that is registered in the store.
+// Candidate is a daemon registered in the store.
 type Candidate struct {
-	name     string
-	zone     string
-	peer     string
-	capacity float64
+	name        string
+	domain      string
+	peerAddress string
+	capacity    float64
 }
 
-// NewCandidate returns a registered daemon. Capacity is its part of a core, which
-// tells strong VMs from weak ones.
-func NewCandidate(name, zone, peer string, capacity float64) Candidate {
-	return Candidate{name: name, zone: zone, peer: peer, capacity: capacity}
+// NewCandidate returns a registered daemon. Capacity is the capacity of its VM
+// in CPU cores and distinguishes strong VMs from weak ones.
+func NewCandidate(name, domain, peerAddress string, capacity float64) Candidate {
+	return Candidate{name: name, domain: domain, peerAddress: peerAddress, capacity: capacity}
 }
 
 // Name returns the daemon's name.
 func (c Candidate) Name() string { return c.name }
 
-// Zone returns its failure domain.
-func (c Candidate) Zone() string { return c.zone }
+// Domain returns the daemon's failure domain.
+func (c Candidate) Domain() string { return c.domain }
 
-// Capacity returns the VM's part of a core.
+// Capacity returns the capacity of the daemon's VM in CPU cores.
 func (c Candidate) Capacity() float64 { return c.capacity }
 
-// Peer returns its address for other daemons.
-func (c Candidate) Peer() string { return c.peer }
+// PeerAddress returns the daemon's address for other daemons.
+func (c Candidate) PeerAddress() string { return c.peerAddress }
 
 const (
-	// minPerZone is how many daemons of a failure domain serve callers at least,
-	// so that one may be lost.
-	minPerZone = 2
-	// maxServing bounds the daemons that serve callers, so that each of them has
-	// three connections to a target with a cap of about 60.
+	// minPerDomain is the minimum number of serving daemons per failure domain, so
+	// that one may be lost.
+	minPerDomain = 2
+	// maxServing limits the number of serving daemons, so that each gets three
+	// connections to a target that accepts about 60.
 	maxServing = 18
-	// strongShare is the part of the strongest VM's capacity from which another
-	// one counts as strong.
-	strongShare = 0.6
+	// strongCapacityFraction is the fraction of the highest capacity at which a VM
+	// counts as strong.
+	strongCapacityFraction = 0.6
 )
 
-// Select returns the daemons that callers are sent to, in their order of
-// precedence. All daemons come to the same result from the same registry: the
-// strong VMs of each failure domain, at least two of them, skipping those that
-// are lost. Daemons that are not selected stand by, and cost the targets and the
-// other daemons next to nothing.
+// Select returns the daemons that serve callers, in order of precedence. It
+// selects the strong VMs of each failure domain, at least two of them, and
+// skips lost daemons. All daemons compute the same result from the same
+// registry. Daemons that are not selected are on standby and put almost no load
+// on the targets and the other daemons.
 func Select(all []Candidate, lost func(name string) bool) []Candidate {
-	byZone := make(map[string][]Candidate)
+	byDomain := make(map[string][]Candidate)
 	strongest := 0.0
 	for _, c := range all {
 		if lost(c.name) {
 			continue
 		}
-		byZone[c.zone] = append(byZone[c.zone], c)
+		byDomain[c.domain] = append(byDomain[c.domain], c)
 		strongest = max(strongest, c.capacity)
 	}
-	var ranks [][]Candidate // By rank within the failure domain.
-	for _, cs := range byZone {
-		slices.SortFunc(cs, precedence)
+	var ranks [][]Candidate // Indexed by rank within the failure domain.
+	for _, cs := range byDomain {
+		slices.SortFunc(cs, comparePrecedence)
 		for rank, c := range cs {
-			if rank >= minPerZone && c.capacity < strongShare*strongest {
+			if rank >= minPerDomain && c.capacity < strongCapacityFraction*strongest {
 				break
 			}
 			if rank == len(ranks) {
@@ -75,14 +75,15 @@
 	}
 	var selected []Candidate
 	for _, cs := range ranks {
-		slices.SortFunc(cs, precedence)
+		slices.SortFunc(cs, comparePrecedence)
 		selected = append(selected, cs...)
 	}
 	return selected[:min(len(selected), maxServing)]
 }
 
-// precedence orders strong VMs first and equal ones by a hash of their names.
-func precedence(a, b Candidate) int {
+// comparePrecedence orders daemons by descending capacity, and those of equal
+// capacity by a hash of their names.
+func comparePrecedence(a, b Candidate) int {
 	return cmp.Or(cmp.Compare(b.capacity, a.capacity),
 		cmp.Compare(xxhash.Sum64String(a.name), xxhash.Sum64String(b.name)),
 		cmp.Compare(a.name, b.name))
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,3 +1,4 @@
-// Package fleet tells a daemon which other daemons run. Daemons send one another
-// heartbeats by datagram, which also tell how current their copy of the store is.
+// Package fleet tracks the running daemons. Daemons exchange heartbeats in UDP
+// datagrams, which also carry the versions of their copy of the store. The
+// package also selects the daemons that serve callers.
 package fleet
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// beatEvery is the time between heartbeats.
-	beatEvery = 300 * time.Millisecond
-	// forgetAfter is the silence after which a daemon is forgotten.
+	// heartbeatInterval is the time between two rounds of heartbeats.
+	heartbeatInterval = 300 * time.Millisecond
+	// forgetAfter is the silence after which a daemon is removed.
 	forgetAfter = 60 * time.Second
-	// maxDatagram is the size of the receive buffer; a heartbeat takes about 200
-	// bytes.
-	maxDatagram = 8 << 10
+	// maxDatagramBytes is the size of the receive buffer. A heartbeat takes about
+	// 200 bytes.
+	maxDatagramBytes = 8 << 10
 )
 
 // LostAfter is the silence after which a daemon that sends heartbeats counts as
-// lost: four heartbeats, as single datagrams are lost.
+// lost. It spans four heartbeats, since single datagrams get lost.
 const LostAfter = 1250 * time.Millisecond
 
-// Fleet exchanges heartbeats with the other daemons.
+// Fleet exchanges heartbeats with the other daemons. It is safe for concurrent
+// use once started.
 type Fleet struct {
-	clock      clock.Clock
-	log        zerolog.Logger
-	conn       net.PacketConn
-	self       func() *mirrorpb.Heartbeat
-	recipients func(round int) []string
-	heard      func(Member)
+	clock       clock.Clock
+	log         zerolog.Logger
+	conn        net.PacketConn
+	heartbeat   func() *mirrorpb.Heartbeat
+	recipients  func(round int) []string
+	onHeartbeat func(Member)
 
 	mu      sync.Mutex
 	members map[string]*member // By peer address.
@@ -46,36 +47,38 @@
 	stop    context.CancelFunc
 }
 
-// member is a daemon that was heard.
+// member is a daemon from which a heartbeat was received.
 type member struct {
 	Member
 	lost bool
 }
 
-// Option sets one property of a Fleet.
+// Option sets an option of a Fleet.
 type Option func(*Fleet)
 
-// Clock sets the source of time.
+// Clock sets the clock. The default is the system clock.
 func Clock(c clock.Clock) Option { return func(f *Fleet) { f.clock = c } }
 
-// Log sets where gained and lost daemons are logged.
+// Log sets the logger for found and lost daemons. By default nothing is logged.
 func Log(l zerolog.Logger) Option { return func(f *Fleet) { f.log = l } }
 
-// OnHeartbeat sets what is called with each received heartbeat. It must not block.
-func OnHeartbeat(fn func(Member)) Option { return func(f *Fleet) { f.heard = fn } }
+// OnHeartbeat sets the function that is called for each received heartbeat. It
+// must not block.
+func OnHeartbeat(fn func(Member)) Option { return func(f *Fleet) { f.onHeartbeat = fn } }
 
-// Recipients sets to which peer addresses the heartbeats of a round go.
+// Recipients sets the function that returns the peer addresses to which the
+// heartbeats of a round are sent.
 func Recipients(fn func(round int) []string) Option {
 	return func(f *Fleet) { f.recipients = fn }
 }
 
-// New returns a fleet that exchanges heartbeats over conn. Self describes this
-// daemon.
-func New(conn net.PacketConn, self func() *mirrorpb.Heartbeat, opts ...Option) *Fleet {
+// New returns a fleet that exchanges heartbeats over conn. The function
+// heartbeat describes this daemon.
+func New(conn net.PacketConn, heartbeat func() *mirrorpb.Heartbeat, opts ...Option) *Fleet {
 	f := &Fleet{
-		clock: clock.System{}, log: zerolog.Nop(), conn: conn, self: self,
-		recipients: func(int) []string { return nil },
-		heard:      func(Member) {}, members: make(map[string]*member), addrs: make(map[string]*net.UDPAddr),
+		clock: clock.System{}, log: zerolog.Nop(), conn: conn, heartbeat: heartbeat,
+		recipients:  func(int) []string { return nil },
+		onHeartbeat: func(Member) {}, members: make(map[string]*member), addrs: make(map[string]*net.UDPAddr),
 	}
 	for _, o := range opts {
 		o(f)
@@ -83,7 +86,7 @@
 	return f
 }
 
-// Start begins to send and receive.
+// Start starts sending and receiving heartbeats.
 func (f *Fleet) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.stop = cancel
@@ -94,14 +97,15 @@
 	}()
 	go func() {
 		defer f.wg.Done()
-		for round := 0; clock.Sleep(ctx, f.clock, beatEvery) == nil; round++ {
+		for round := 0; clock.Sleep(ctx, f.clock, heartbeatInterval) == nil; round++ {
 			f.expire()
-			f.Beat(round)
+			f.SendHeartbeats(round)
 		}
 	}()
 }
 
-// Close ends the exchange and waits for its goroutines.
+// Close stops the exchange, closes the connection and waits for all goroutines.
+// It returns the error of closing the connection.
 func (f *Fleet) Close() error {
 	f.stop()
 	err := f.conn.Close()
@@ -109,27 +113,29 @@
 	return err
 }
 
-// Hello asks the daemon at a peer address for a heartbeat.
-func (f *Fleet) Hello(address string) {
-	h := f.self()
+// RequestHeartbeat sends a heartbeat to the given peer address and asks for one
+// in return.
+func (f *Fleet) RequestHeartbeat(address string) {
+	h := f.heartbeat()
 	h.Reply = true
 	f.send(h, address)
 }
 
-// Beat sends a heartbeat to the recipients of a round now.
-func (f *Fleet) Beat(round int) {
+// SendHeartbeats immediately sends heartbeats to the recipients of the given
+// round.
+func (f *Fleet) SendHeartbeats(round int) {
 	if to := f.recipients(round); len(to) > 0 {
-		f.send(f.self(), to...)
+		f.send(f.heartbeat(), to...)
 	}
 }
 
-// expire notes which daemons have fallen silent.
+// expire marks silent daemons as lost and later removes them.
 func (f *Fleet) expire() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	for key, m := range f.members {
-		silence := now.Sub(m.heard)
+		silence := now.Sub(m.receivedAt)
 		if !m.lost && silence > LostAfter {
 			m.lost = true
 			f.log.Warn().Str("member", m.name).Dur("silent_for", silence).Msg("daemon lost")
@@ -143,7 +149,7 @@
 func (f *Fleet) send(h *mirrorpb.Heartbeat, to ...string) {
 	b, err := proto.Marshal(h)
 	if err != nil {
-		f.log.Error().Err(err).Msg("heartbeat cannot be encoded")
+		f.log.Error().Err(err).Msg("encoding the heartbeat failed; sending none")
 		return
 	}
 	for _, address := range to {
@@ -152,10 +158,10 @@
 		}
 		addr, err := f.resolve(address)
 		if err != nil {
-			f.log.Warn().Err(err).Str("address", address).Msg("address of another daemon cannot be used")
+			f.log.Warn().Err(err).Str("address", address).Msg("invalid peer address; sending no heartbeat to it")
 			continue
 		}
-		// A failure is only counted, because the next heartbeat follows soon.
+		// Failures are only counted, because the next heartbeat follows soon.
 		if _, err := f.conn.WriteTo(b, addr); err != nil {
 			meter.Count("fleet.send_failed", 1)
 		}
@@ -176,55 +182,56 @@
 }
 
 func (f *Fleet) receive() {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := f.conn.ReadFrom(buf)
 		if err != nil {
-			return // Closed.
+			return // The connection is closed.
 		}
 		h := &mirrorpb.Heartbeat{}
 		if err := proto.Unmarshal(buf[:n], h); err != nil || h.GetPeer() == "" || h.GetName() == "" {
 			meter.Count("fleet.received_malformed", 1)
 			continue
 		}
-		f.take(h)
+		f.handleHeartbeat(h)
 	}
 }
 
-func (f *Fleet) take(h *mirrorpb.Heartbeat) {
+func (f *Fleet) handleHeartbeat(h *mirrorpb.Heartbeat) {
 	m := Member{
-		name: h.GetName(), incarnation: h.GetIncarnation(), zone: h.GetZone(), front: h.GetFront(),
-		peer: h.GetPeer(), leaving: h.GetLeaving(), serving: h.GetServing(),
+		name: h.GetName(), incarnation: h.GetIncarnation(), domain: h.GetZone(), callerAddress: h.GetFront(),
+		peerAddress: h.GetPeer(), leaving: h.GetLeaving(), serving: h.GetServing(),
 		storeAge: time.Duration(h.GetStoreAgeMs()) * time.Millisecond,
-		versions: h.GetVersions(), moves: h.GetMoves(), strikes: h.GetStrikes(), reports: h.GetReports(), heard: f.clock.Now(),
+		versions: h.GetVersions(), moves: h.GetMoves(), strikes: h.GetStrikes(), reports: h.GetReports(), receivedAt: f.clock.Now(),
 	}
 	f.mu.Lock()
-	known := f.members[m.peer]
-	if known == nil || known.lost || known.incarnation != m.incarnation {
-		f.log.Info().Str("member", m.name).Str("zone", m.zone).Msg("daemon found")
+	previous := f.members[m.peerAddress]
+	if previous == nil || previous.lost || previous.incarnation != m.incarnation {
+		f.log.Info().Str("member", m.name).Str("zone", m.domain).Msg("daemon found")
 	}
-	f.members[m.peer] = &member{Member: m}
+	f.members[m.peerAddress] = &member{Member: m}
 	f.mu.Unlock()
 	if h.GetReply() {
-		f.send(f.self(), m.peer)
+		f.send(f.heartbeat(), m.peerAddress)
 	}
-	f.heard(m)
+	f.onHeartbeat(m)
 }
 
-// Alive returns the daemons that were heard lately, ordered by name.
-func (f *Fleet) Alive() []Member { return f.heardWithin(LostAfter) }
-
-// Known returns the daemons that were heard at all and are not forgotten yet,
+// Alive returns the daemons whose last heartbeat is at most LostAfter old,
 // ordered by name.
-func (f *Fleet) Known() []Member { return f.heardWithin(forgetAfter) }
+func (f *Fleet) Alive() []Member { return f.membersWithin(LostAfter) }
+
+// Known returns the daemons that sent a heartbeat and have not been removed
+// yet, ordered by name.
+func (f *Fleet) Known() []Member { return f.membersWithin(forgetAfter) }
 
-func (f *Fleet) heardWithin(d time.Duration) []Member {
+func (f *Fleet) membersWithin(silence time.Duration) []Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock.Now()
 	var list []Member
 	for _, m := range f.members {
-		if now.Sub(m.heard) <= d {
+		if now.Sub(m.receivedAt) <= silence {
 			list = append(list, m.Member)
 		}
 	}
@@ -232,13 +239,13 @@
 	return list
 }
 
-// Heard returns when the daemon at a peer address was last heard; zero means
-// never.
-func (f *Fleet) Heard(peer string) time.Time {
+// LastHeartbeat returns when the last heartbeat from a peer address was
+// received, or the zero time if none was.
+func (f *Fleet) LastHeartbeat(peer string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.members[peer]; m != nil {
-		return m.heard
+		return m.receivedAt
 	}
 	return time.Time{}
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -7,55 +7,57 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// Member is another daemon as its last heartbeat described it.
+// Member is another daemon as described by its last heartbeat.
 type Member struct {
-	name        string
-	incarnation uint64
-	zone        string
-	front       string
-	peer        string
-	leaving     bool
-	serving     bool
-	storeAge    time.Duration
-	versions    map[string]uint64
-	moves       []*mirrorpb.MoveEvidence
-	strikes     []*peerpb.CrashStrike
-	reports     *mirrorpb.TargetReports
-	heard       time.Time
+	name          string
+	incarnation   uint64
+	domain        string
+	callerAddress string
+	peerAddress   string
+	leaving       bool
+	serving       bool
+	storeAge      time.Duration
+	versions      map[string]uint64
+	moves         []*mirrorpb.MoveEvidence
+	strikes       []*peerpb.CrashStrike
+	reports       *mirrorpb.TargetReports
+	receivedAt    time.Time
 }
 
 // Name returns the daemon's name.
 func (m Member) Name() string { return m.name }
 
-// Zone returns its failure domain.
-func (m Member) Zone() string { return m.zone }
+// Domain returns the daemon's failure domain.
+func (m Member) Domain() string { return m.domain }
 
-// Front returns the address that it offers to callers.
-func (m Member) Front() string { return m.front }
+// CallerAddress returns the daemon's address for callers.
+func (m Member) CallerAddress() string { return m.callerAddress }
 
-// Peer returns the address that it offers to other daemons.
-func (m Member) Peer() string { return m.peer }
+// PeerAddress returns the daemon's address for other daemons.
+func (m Member) PeerAddress() string { return m.peerAddress }
 
-// Leaving reports whether it is shutting down.
+// Leaving reports whether the daemon is shutting down.
 func (m Member) Leaving() bool { return m.leaving }
 
-// Serving reports whether it can serve callers.
+// Serving reports whether the daemon is able to serve callers.
 func (m Member) Serving() bool { return m.serving }
 
-// StoreAge returns the time since the store had answered it.
+// StoreAge returns the time since the store last answered the daemon, as of its
+// heartbeat.
 func (m Member) StoreAge() time.Duration { return m.storeAge }
 
-// Versions returns the version of each kind of object that it has.
+// Versions returns the daemon's version of each kind of object.
 func (m Member) Versions() map[string]uint64 { return m.versions }
 
-// Moves returns what the daemon saw of services that move to another version.
+// Moves returns the daemon's evidence on services that move to another version.
 func (m Member) Moves() []*mirrorpb.MoveEvidence { return m.moves }
 
-// Incarnation tells apart the starts of a daemon.
+// Incarnation returns a number that differs for each start of the daemon.
 func (m Member) Incarnation() uint64 { return m.incarnation }
 
-// Reports returns failures of targets that the daemon saw lately; nil if none.
+// Reports returns the target failures that the daemon observed recently, or nil
+// if there are none.
 func (m Member) Reports() *mirrorpb.TargetReports { return m.reports }
 
-// Strikes returns requests that crashed targets, as the daemon knows them.
+// Strikes returns the requests known to the daemon as having crashed targets.
 func (m Member) Strikes() []*peerpb.CrashStrike { return m.strikes }
--- a/node/addresses.go
+++ b/node/addresses.go
@@ -51,7 +51,7 @@
 	var endpoints []callerEndpoint
 	for _, m := range members {
 		if m.Serving() && !m.Leaving() {
-			endpoints = append(endpoints, callerEndpoint{address: m.Front(), region: d.settings.RegionOf(m.Zone()), state: stateOf(m)})
+			endpoints = append(endpoints, callerEndpoint{address: m.CallerAddress(), region: d.settings.RegionOf(m.Domain()), state: stateOf(m)})
 		}
 	}
 	return endpoints
--- a/node/daemon.go
+++ b/node/daemon.go
@@ -161,7 +161,7 @@
 		}},
 	}
 	d.mirror = mirror.New(d.notifyChange, platform.KindConfig, platform.KindTargets, platform.KindMoves, platform.KindEvacuations, platform.KindDaemons)
-	d.serving = newServingSet(c, s.Name(), func(peer string) time.Time { return d.fleet.Heard(peer) })
+	d.serving = newServingSet(c, s.Name(), func(peer string) time.Time { return d.fleet.LastHeartbeat(peer) })
 	d.follower = mirror.NewFollower(d.mirror, d.store.Reader(), c, l, d.shouldWatch, func() bool { return !d.serving.includesSelf() })
 	d.suspects = admission.NewSuspects(c, func([]*peerpb.CrashStrike) {}) // Heartbeats distribute the strikes.
 	d.engine = query.NewEngine(query.Clock(c), query.Log(l), query.Stamp(platform.Stamp),
@@ -176,7 +176,7 @@
 	d.fleet.Start()
 	seeds := d.seedAddresses()
 	for _, address := range seeds {
-		d.fleet.Hello(address)
+		d.fleet.RequestHeartbeat(address)
 	}
 	d.startWorker(func() { d.followStore(ctx, slices.Contains(seeds, d.settings.PeerAddress())) })
 	d.startWorker(func() { d.register(ctx) })
@@ -221,7 +221,7 @@
 		case <-d.changed:
 			d.apply()
 			if d.shouldWatch() {
-				d.fleet.Beat(0)
+				d.fleet.SendHeartbeats(0)
 				_ = clock.Sleep(ctx, d.clock, minNotifyInterval) // Ends early only with ctx.
 			}
 		}
@@ -243,7 +243,7 @@
 	startedAt := d.clock.Boot()
 	d.leaving.Store(true)
 	d.log.Info().Msg("graceful shutdown begins")
-	d.fleet.Beat(0)
+	d.fleet.SendHeartbeats(0)
 	total := d.settings.ShutdownTimeout()
 	_ = clock.Sleep(context.Background(), d.clock, time.Duration(acceptFraction*float64(total))) // Never ends early.
 	ctx, cancel := clock.WithDeadline(context.Background(), d.clock, startedAt+time.Duration(finishFraction*float64(total)))
--- a/node/peers.go
+++ b/node/peers.go
@@ -72,7 +72,7 @@
 	for kind, v := range m.Versions() {
 		if ownVersion, ok := own[kind]; !ok || ownVersion < v {
 			select {
-			case d.fetches <- m.Peer():
+			case d.fetches <- m.PeerAddress():
 			default: // A fetch is queued already; the next heartbeat triggers another.
 			}
 			return
--- a/node/reports.go
+++ b/node/reports.go
@@ -25,7 +25,7 @@
 	}
 	present := make(map[string]bool)
 	for _, m := range known() {
-		present[m.Peer()] = true
+		present[m.PeerAddress()] = true
 	}
 	for p := range c {
 		if !present[p] {
@@ -94,7 +94,7 @@
 	if !d.serving.includesSelf() || m.Name() == d.settings.Name() {
 		return
 	}
-	reports := d.reportCursors.cursor(m.Peer(), d.fleet.Known).newReports(m.Incarnation(), m.Reports())
+	reports := d.reportCursors.cursor(m.PeerAddress(), d.fleet.Known).newReports(m.Incarnation(), m.Reports())
 	if len(reports) == 0 {
 		return
 	}
--- a/node/serving.go
+++ b/node/serving.go
@@ -47,7 +47,7 @@
 		if !ok || c.Name() == s.name {
 			continue
 		}
-		if last := s.lastHeartbeat(c.Peer()); last.After(since) {
+		if last := s.lastHeartbeat(c.PeerAddress()); last.After(since) {
 			since = last
 		}
 		s.lost[c.Name()] = now.Sub(since) > fleet.LostAfter
@@ -135,7 +135,7 @@
 	addresses := make(map[string]bool)
 	for _, c := range d.serving.registered() {
 		if round%standbyHeartbeatRounds == 0 || serving[c.Name()] {
-			addresses[c.Peer()] = true
+			addresses[c.PeerAddress()] = true
 		}
 	}
 	if len(addresses) == 0 {
@@ -144,7 +144,7 @@
 		}
 	}
 	for _, m := range d.fleet.Alive() {
-		addresses[m.Peer()] = true
+		addresses[m.PeerAddress()] = true
 	}
 	return slices.Collect(maps.Keys(addresses))
 }
