--- a/mirror/doc.go
+++ b/mirror/doc.go
@@ -1,4 +1,4 @@
-// Package mirror holds a copy of objects in the platform's store and keeps it
-// up to date. A few daemons watch the store; the others fetch the changes from
-// their neighbours, so the calls to the store do not grow with the fleet.
+// Package mirror keeps an up-to-date copy of objects in the platform's store. A
+// few daemons watch the store and the others fetch the changes from their
+// peers, so the number of calls to the store does not grow with the fleet.
 package mirror
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,81 +14,89 @@
 )
 
 const (
-	// callTimeout is long against a store that answers in milliseconds or, when
-	// it is slow, in some hundreds of them.
+	// callTimeout is far above the response time of the store, which is
+	// milliseconds, or some hundreds of milliseconds under load.
 	callTimeout = 2 * time.Second
-	// firstTimeout bounds the first reading, which a daemon cannot do without:
-	// several pages of a store that takes over a second for each.
-	firstTimeout = 10 * time.Second
-	// firstEvery is after how long the first reading is tried once more beside
-	// those under way, since their connections may be silent.
-	firstEvery = 700 * time.Millisecond
-	// maxWait is how long a watch waits for a change at most. One that has gone
-	// silent is found by the connection's probes before.
-	maxWait = 10 * time.Second
-	// pingEvery is how often a daemon that watches proves its contact.
-	pingEvery = 600 * time.Millisecond
-	// standbyPings is after how many turns a daemon that stands by tries a store
-	// that does not answer.
-	standbyPings = 4
-	// firstDelay and lastDelay bound the pause after a failed call.
-	firstDelay = 100 * time.Millisecond
-	lastDelay  = 400 * time.Millisecond
-	// idleCheck is how often a daemon that does not watch looks whether it should.
-	idleCheck = 100 * time.Millisecond
-	// startCheck is how often a kind that is not known looks whether the store
-	// answers; callers wait meanwhile.
-	startCheck = 10 * time.Millisecond
+	// initialListTimeout limits the first list of a kind, without which a daemon
+	// cannot serve. The store may take over a second for each of several pages.
+	initialListTimeout = 10 * time.Second
+	// initialListInterval is the time after which the first list is sent again in
+	// parallel, since the connections of the earlier calls may be silent.
+	initialListInterval = 700 * time.Millisecond
+	// maxWatchWait is the maximum time that a watch waits for a change. The
+	// keep-alive probes of the connection detect a silent watch earlier.
+	maxWatchWait = 10 * time.Second
+	// pingInterval is the time between pings, which confirm that a watching daemon
+	// reaches the store.
+	pingInterval = 600 * time.Millisecond
+	// standbyPingPeriod is the number of ping intervals per ping of a standby
+	// daemon while the store does not answer.
+	standbyPingPeriod = 4
+	// minRetryDelay and maxRetryDelay limit the exponential delay after failed
+	// calls.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// idlePollInterval is how often a daemon that does not watch checks whether it
+	// should.
+	idlePollInterval = 100 * time.Millisecond
+	// startPollInterval is how often an unknown kind checks whether the store
+	// answers. It is short because callers wait in the meantime.
+	startPollInterval = 10 * time.Millisecond
 )
 
-// FreshContact is the age of a daemon's last contact with the store up to which
-// the others leave the watching to it: two pings and a usual answer.
-const FreshContact = 2*pingEvery + 300*time.Millisecond
+// MaxContactAge is the maximum age of a daemon's last contact with the store at
+// which other daemons rely on it to watch. It covers two pings and a typical
+// response time.
+const MaxContactAge = 2*pingInterval + 300*time.Millisecond
 
-// Follower keeps a mirror up to date from the store.
+// Follower keeps a mirror up to date from the store. A Follower must be created
+// with NewFollower and run once.
 type Follower struct {
-	mirror *Mirror
-	store  Store
-	clock  clock.Clock
-	log    zerolog.Logger
-	elect  func() bool
+	mirror      *Mirror
+	store       Store
+	clock       clock.Clock
+	log         zerolog.Logger
+	shouldWatch func() bool
 
-	contact   atomic.Int64 // Boot time of the last answer, in nanoseconds.
-	connected atomic.Bool
-	standby   func() bool
-	skipped   int // Pings left out; only the pinging goroutine uses it.
-	wg        sync.WaitGroup
+	lastContact  atomic.Int64 // Boot time of the store's last answer, in nanoseconds; 0 before the first.
+	connected    atomic.Bool
+	standby      func() bool
+	skippedPings int // Used only by the goroutine that runs ping.
+	wg           sync.WaitGroup
 }
 
-// Kind is how one kind of object is followed.
+// Kind configures how one kind of object is followed.
 type Kind struct {
-	name   string
-	reread time.Duration
-	gather time.Duration
-	lead   bool
+	name           string
+	relistInterval time.Duration
+	batchDelay     time.Duration
+	readFirst      bool
 }
 
-// NewKind follows the kind of that name and lists it again after each reread,
-// whatever the watch says. After a change it waits for gather, so that one call
-// tells of several changes.
-func NewKind(name string, reread, gather time.Duration) Kind {
-	return Kind{name: name, reread: reread, gather: gather}
+// NewKind returns a configuration that watches the kind with the given name and
+// lists it again every relistInterval, whatever the watch returns. After a
+// change the next watch is delayed by batchDelay, so that one call returns
+// several changes.
+func NewKind(name string, relistInterval, batchDelay time.Duration) Kind {
+	return Kind{name: name, relistInterval: relistInterval, batchDelay: batchDelay}
 }
 
-// Leading returns a kind that is read first; the others follow once the store
-// answers.
-func Leading(k Kind) Kind {
-	k.lead = true
+// ReadFirst returns k, marked to be read first. The other kinds are read once
+// the store has answered.
+func ReadFirst(k Kind) Kind {
+	k.readFirst = true
 	return k
 }
 
-// NewFollower returns a follower. Elect reports whether this daemon is to watch
-// the store now; otherwise it relies on its neighbours. Standby reports whether other daemons do not rely on this one.
-func NewFollower(m *Mirror, s Store, c clock.Clock, l zerolog.Logger, elect, standby func() bool) *Follower {
-	return &Follower{mirror: m, store: s, clock: c, log: l, elect: elect, standby: standby}
+// NewFollower returns a follower that copies the store s to the mirror m. The
+// function shouldWatch reports whether this daemon must watch the store now;
+// otherwise its peers supply the changes. The function standby reports whether
+// no other daemon relies on this one.
+func NewFollower(m *Mirror, s Store, c clock.Clock, l zerolog.Logger, shouldWatch, standby func() bool) *Follower {
+	return &Follower{mirror: m, store: s, clock: c, log: l, shouldWatch: shouldWatch, standby: standby}
 }
 
-// Run follows the kinds until ctx ends.
+// Run follows the given kinds until ctx ends.
 func (f *Follower) Run(ctx context.Context, kinds ...Kind) {
 	for _, k := range kinds {
 		f.wg.Add(1)
@@ -105,95 +113,96 @@
 	f.wg.Wait()
 }
 
-// StoreAge returns the time since the store last answered.
+// StoreAge returns the time since the store last answered, or one hour if it
+// never has.
 func (f *Follower) StoreAge() time.Duration {
-	at := f.contact.Load()
-	if at == 0 {
+	last := f.lastContact.Load()
+	if last == 0 {
 		return time.Hour
 	}
-	return f.clock.Boot() - time.Duration(at)
+	return f.clock.Boot() - time.Duration(last)
 }
 
 // Connected reports whether the last call to the store was answered.
 func (f *Follower) Connected() bool { return f.connected.Load() }
 
 func (f *Follower) follow(ctx context.Context, k Kind) {
-	delay, timeout := firstDelay, callTimeout
-	var listed time.Duration
-	fresh := false
+	delay, timeout := minRetryDelay, callTimeout
+	var listedAt time.Duration
+	current := false
 	for ctx.Err() == nil {
-		// While the store does not answer, only the pings and the first reading of
-		// the leading kind try it.
+		// While the store does not answer, only pings and the first list of the kind
+		// that is read first call it.
 		known := f.mirror.Known(k.name)
-		if known && !f.elect() || !f.connected.Load() && (known || !k.lead) {
-			fresh = false
-			check := idleCheck
+		if known && !f.shouldWatch() || !f.connected.Load() && (known || !k.readFirst) {
+			current = false
+			interval := idlePollInterval
 			if !known {
-				check = startCheck
+				interval = startPollInterval
 			}
-			_ = clock.Sleep(ctx, f.clock, check) // Ends early only with ctx.
+			_ = clock.Sleep(ctx, f.clock, interval) // Ends early only with ctx.
 			continue
 		}
 		var err error
 		switch {
 		case !known:
-			err = f.first(ctx, k.name)
-			fresh, listed = err == nil, f.clock.Boot()
-		case !fresh || f.clock.Boot()-listed >= k.reread:
+			err = f.initialList(ctx, k.name)
+			current, listedAt = err == nil, f.clock.Boot()
+		case !current || f.clock.Boot()-listedAt >= k.relistInterval:
 			err = f.list(ctx, k.name, timeout)
-			fresh, listed = err == nil, f.clock.Boot()
+			current, listedAt = err == nil, f.clock.Boot()
 		default:
 			var events int
-			events, err = f.watch(ctx, k.name, min(maxWait, k.reread))
-			fresh = err == nil
+			events, err = f.watch(ctx, k.name, min(maxWatchWait, k.relistInterval))
+			current = err == nil
 			if events > 0 {
-				_ = clock.Sleep(ctx, f.clock, k.gather) // Ends early only with ctx.
+				_ = clock.Sleep(ctx, f.clock, k.batchDelay) // Ends early only with ctx.
 			}
 		}
-		if errors.Is(err, errLearned) {
+		if errors.Is(err, errKnownFromPeer) {
 			continue
 		}
-		f.note(err)
+		f.recordContact(err)
 		if err == nil {
-			delay, timeout = firstDelay, callTimeout
+			delay, timeout = minRetryDelay, callTimeout
 			continue
 		}
-		timeout = min(2*timeout, firstTimeout) // The store may only be slow.
+		timeout = min(2*timeout, initialListTimeout) // The store may be slow rather than unreachable.
 		meter.Count("mirror.store.failed", 1)
-		f.log.Debug().Err(err).Str("kind", k.name).Dur("delay", delay).Msg("reading the store failed")
+		f.log.Debug().Err(err).Str("kind", k.name).Dur("delay", delay).Msg("reading the store failed; retrying after the delay")
 		_ = clock.Sleep(ctx, f.clock, delay) // Ends early only with ctx.
-		delay = min(2*delay, lastDelay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// first reads a kind for the first time. It starts another reading from time to
-// time and returns with the first that succeeds or once the kind is known from a
-// neighbour.
-func (f *Follower) first(ctx context.Context, kind string) error {
-	ctx, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+firstTimeout)
+// initialList lists a kind for the first time. It repeats the call in parallel
+// at intervals and returns when one succeeds, all fail, ctx ends or a peer has
+// supplied the kind.
+func (f *Follower) initialList(ctx context.Context, kind string) error {
+	ctx, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+initialListTimeout)
 	defer cancel()
-	results := make(chan error, 1+int(firstTimeout/firstEvery))
+	results := make(chan error, 1+int(initialListTimeout/initialListInterval))
 	read := func() {
 		f.wg.Add(1)
 		go func() {
 			defer f.wg.Done()
-			results <- f.list(ctx, kind, firstTimeout)
+			results <- f.list(ctx, kind, initialListTimeout)
 		}()
 	}
 	read()
-	for open := 1; ; {
-		t := f.clock.NewTimer(firstEvery)
+	for pending := 1; ; {
+		t := f.clock.NewTimer(initialListInterval)
 		select {
 		case err := <-results:
 			t.Stop()
-			if open--; err == nil || open == 0 {
+			if pending--; err == nil || pending == 0 {
 				return err
 			}
 		case <-t.C():
 			if f.mirror.Known(kind) {
-				return errLearned
+				return errKnownFromPeer
 			}
-			open++
+			pending++
 			read()
 		case <-ctx.Done():
 			t.Stop()
@@ -202,64 +211,67 @@
 	}
 }
 
-// errLearned is the end of a first reading because a neighbour was faster.
-var errLearned = errors.New("the objects are known from a neighbour")
+// errKnownFromPeer ends a first list because a peer supplied the objects
+// earlier.
+var errKnownFromPeer = errors.New("a peer has supplied the objects")
 
 func (f *Follower) list(ctx context.Context, kind string, timeout time.Duration) error {
 	ctx, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+timeout)
 	defer cancel()
-	objects, at, err := f.store.List(ctx, kind)
+	objects, revision, err := f.store.List(ctx, kind)
 	if err != nil {
 		return err
 	}
-	f.mirror.Replace(kind, objects, at)
+	f.mirror.Replace(kind, objects, revision)
 	return nil
 }
 
-// watch waits for changes of a kind and returns their number.
+// watch waits for changes of a kind, applies them and returns the number of
+// events.
 func (f *Follower) watch(ctx context.Context, kind string, wait time.Duration) (int, error) {
 	cursor, _ := f.mirror.Cursor(kind)
 	ctx, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+wait+callTimeout)
 	defer cancel()
-	events, at, err := f.store.Watch(ctx, kind, cursor, wait)
+	events, revision, err := f.store.Watch(ctx, kind, cursor, wait)
 	if errors.Is(err, ErrHistoryGone) {
 		meter.Count("mirror.store.history_gone", 1)
 	}
 	if err != nil {
 		return 0, err
 	}
-	f.mirror.Apply(kind, events, at)
+	f.mirror.Apply(kind, events, revision)
 	return len(events), nil
 }
 
-// ping proves the contact while this daemon watches.
+// ping confirms the contact with the store while this daemon watches.
 func (f *Follower) ping(ctx context.Context) {
-	for clock.Sleep(ctx, f.clock, pingEvery) == nil {
-		if f.StoreAge() < pingEvery || !f.elect() || !f.due() {
+	for clock.Sleep(ctx, f.clock, pingInterval) == nil {
+		if f.StoreAge() < pingInterval || !f.shouldWatch() || !f.pingDue() {
 			continue
 		}
-		call, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+callTimeout)
-		err := f.store.Ping(call)
+		callCtx, cancel := clock.WithDeadline(ctx, f.clock, f.clock.Boot()+callTimeout)
+		err := f.store.Ping(callCtx)
 		cancel()
-		f.note(err)
+		f.recordContact(err)
 	}
 }
 
-// due reports whether to ping now. A daemon that lost contact pings seldom
-// unless others rely on it.
-func (f *Follower) due() bool {
+// pingDue reports whether to send a ping now. A daemon that lost contact pings
+// less often unless other daemons rely on it.
+func (f *Follower) pingDue() bool {
 	if f.connected.Load() || !f.standby() {
 		return true
 	}
-	f.skipped++
-	return f.skipped%standbyPings == 0
+	f.skippedPings++
+	return f.skippedPings%standbyPingPeriod == 0
 }
 
-// note keeps the time of the last contact and logs its loss and return.
-func (f *Follower) note(err error) {
+// recordContact records the result of a store call and logs when the store
+// stops or resumes answering.
+func (f *Follower) recordContact(err error) {
 	now := f.clock.Boot()
 	if err == nil || errors.Is(err, ErrHistoryGone) {
-		last := time.Duration(f.contact.Swap(int64(now)))
+		last := time.Duration(f.lastContact.Swap(int64(now)))
 		if !f.connected.Swap(true) {
 			l := f.log.Info()
 			if last > 0 {
@@ -269,7 +281,7 @@
 		}
 		return
 	}
-	if f.StoreAge() > FreshContact && f.connected.Swap(false) {
+	if f.StoreAge() > MaxContactAge && f.connected.Swap(false) {
 		f.log.Warn().Err(err).Dur("age", f.StoreAge()).Msg("store does not answer")
 	}
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -6,66 +6,66 @@
 	"sync"
 )
 
-// maxLog is how many changes of a kind are kept for neighbours that lag behind;
-// one that lags more gets all objects.
-const maxLog = 512
+// maxLogLength is the number of changes kept per kind for peers that lag
+// behind. A peer that lags further receives all objects.
+const maxLogLength = 512
 
-// Mirror is the copy of some kinds of objects. It is safe for concurrent use.
+// Mirror is a copy of the objects of some kinds. It is safe for concurrent use.
 type Mirror struct {
-	changed func(kind string)
+	onChange func(kind string)
 
 	mu    sync.Mutex
-	kinds map[string]*kind
+	kinds map[string]*kindState
 }
 
-// kind is the copy of the objects of one kind.
-type kind struct {
-	known   bool
-	version uint64 // The store's revision when the last change became known.
-	cursor  uint64 // The store's revision from which a watch continues.
-	objects map[string]Object
-	log     []change
-	logFrom uint64 // The log holds all changes after this version.
+// kindState is the copy of the objects of one kind.
+type kindState struct {
+	known    bool
+	version  uint64 // Store revision of the last known change.
+	cursor   uint64 // Store revision from which the next watch continues.
+	objects  map[string]Object
+	log      []logEntry
+	logStart uint64 // The log contains all changes after this version.
 }
 
-// change is one event with the version that it leads to.
-type change struct {
+// logEntry is an event and the version of the kind after it.
+type logEntry struct {
 	Event
 	version uint64
 }
 
-// New returns an empty mirror of those kinds. Changed is called after each
-// change, without locks held; it must not block for long.
-func New(changed func(kind string), kinds ...string) *Mirror {
-	m := &Mirror{changed: changed, kinds: make(map[string]*kind, len(kinds))}
+// New returns an empty mirror of the given kinds. It calls onChange after each
+// change without holding locks. The function must not block for long.
+func New(onChange func(kind string), kinds ...string) *Mirror {
+	m := &Mirror{onChange: onChange, kinds: make(map[string]*kindState, len(kinds))}
 	for _, k := range kinds {
-		m.kinds[k] = &kind{objects: make(map[string]Object)}
+		m.kinds[k] = &kindState{objects: make(map[string]Object)}
 	}
 	return m
 }
 
-// Versions returns the version of each kind that is known.
+// Versions returns the versions of all known kinds.
 func (m *Mirror) Versions() map[string]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	vs := make(map[string]uint64, len(m.kinds))
+	versions := make(map[string]uint64, len(m.kinds))
 	for name, k := range m.kinds {
 		if k.known {
-			vs[name] = k.version
+			versions[name] = k.version
 		}
 	}
-	return vs
+	return versions
 }
 
-// Known reports whether the objects of a kind have been read at all.
+// Known reports whether a list of the kind has been stored.
 func (m *Mirror) Known(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.kinds[name].known
 }
 
-// Cursor returns the revision from which to watch a kind; false means that it
-// must be listed first.
+// Cursor returns the store revision from which to watch a kind. It returns
+// false if the kind must be listed first.
 func (m *Mirror) Cursor(name string) (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -86,12 +86,12 @@
 	return objects
 }
 
-// Replace sets all objects of a kind as of the store's revision at. A reading
-// that is older than what is known is ignored.
-func (m *Mirror) Replace(name string, objects []Object, at uint64) {
+// Replace sets all objects of a kind to a list taken at the given store
+// revision. It ignores lists that are older than the known version.
+func (m *Mirror) Replace(name string, objects []Object, revision uint64) {
 	m.mu.Lock()
 	k := m.kinds[name]
-	if k.known && at < k.version {
+	if k.known && revision < k.version {
 		m.mu.Unlock()
 		return
 	}
@@ -99,7 +99,7 @@
 	seen := make(map[string]bool, len(objects))
 	for _, o := range objects {
 		seen[o.name] = true
-		events = append(events, NewEvent(o, false)) // Those that change nothing are left out below.
+		events = append(events, NewEvent(o, false)) // apply skips events that change nothing.
 	}
 	for n, o := range k.objects {
 		if !seen[n] {
@@ -108,60 +108,61 @@
 	}
 	first := !k.known
 	if first {
-		k.logFrom, k.version = at, at
+		k.logStart, k.version = revision, revision
 	}
 	k.known = true
-	k.cursor = max(k.cursor, at)
-	changed := k.apply(events, at)
+	k.cursor = max(k.cursor, revision)
+	changed := k.apply(events, revision)
 	m.mu.Unlock()
 	if first || changed {
-		m.changed(name)
+		m.onChange(name)
 	}
 }
 
-// Apply takes in the events of a watch that ended at the store's revision at.
-func (m *Mirror) Apply(name string, events []Event, at uint64) {
+// Apply applies the events of a watch that ended at the given store revision.
+func (m *Mirror) Apply(name string, events []Event, revision uint64) {
 	m.mu.Lock()
 	k := m.kinds[name]
-	k.cursor = max(k.cursor, at)
-	changed := k.apply(events, at)
+	k.cursor = max(k.cursor, revision)
+	changed := k.apply(events, revision)
 	m.mu.Unlock()
 	if changed {
-		m.changed(name)
+		m.onChange(name)
 	}
 }
 
-// apply takes in events up to the store's revision at and reports whether any
-// of them changed something.
-func (k *kind) apply(events []Event, at uint64) bool {
+// apply applies events up to the given store revision and reports whether any
+// of them changed an object. The caller holds the mirror's lock.
+func (k *kindState) apply(events []Event, revision uint64) bool {
 	changed := false
 	for _, e := range events {
-		// Each event is compared with what the ones before it left.
-		if !k.changes(e) {
+		// Compare each event with the state that the preceding events left.
+		if !k.modifies(e) {
 			continue
 		}
 		if !changed {
 			changed = true
-			k.version = max(k.version, at)
+			k.version = max(k.version, revision)
 		}
 		if e.deleted {
 			delete(k.objects, e.object.name)
 		} else {
 			k.objects[e.object.name] = e.object
 		}
-		k.log = append(k.log, change{Event: e, version: k.version})
+		k.log = append(k.log, logEntry{Event: e, version: k.version})
 	}
-	if over := len(k.log) - maxLog; over > 0 {
-		// All changes up to the version of the last one removed are lost.
-		k.logFrom = k.log[over-1].version
-		k.log = slices.Delete(k.log, 0, over)
+	if excess := len(k.log) - maxLogLength; excess > 0 {
+		// The log no longer contains all changes up to the version of the last
+		// removed entry.
+		k.logStart = k.log[excess-1].version
+		k.log = slices.Delete(k.log, 0, excess)
 	}
 	return changed
 }
 
-// changes reports whether an event tells something new. Another source may have
-// told it already.
-func (k *kind) changes(e Event) bool {
+// modifies reports whether an event changes the objects. Another source may
+// have supplied it already.
+func (k *kindState) modifies(e Event) bool {
 	old, ok := k.objects[e.object.name]
 	switch {
 	case ok && e.object.revision < old.revision:
@@ -173,7 +174,8 @@
 	}
 }
 
-// Changes is what a daemon lacks of one kind.
+// Changes holds the changes of one kind that another daemon is missing. If full
+// is set, events contains all objects.
 type Changes struct {
 	kind    string
 	version uint64
@@ -181,21 +183,22 @@
 	events  []Event
 }
 
-// Since returns what a daemon with those versions lacks.
-func (m *Mirror) Since(versions map[string]uint64) []Changes {
+// ChangesSince returns the changes that a daemon with the given versions is
+// missing.
+func (m *Mirror) ChangesSince(versions map[string]uint64) []Changes {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var all []Changes
+	var missing []Changes
 	for name, k := range m.kinds {
 		v, has := versions[name]
 		if !k.known || has && v >= k.version {
 			continue
 		}
 		c := Changes{kind: name, version: k.version}
-		if has && v >= k.logFrom {
-			for _, ch := range k.log {
-				if ch.version > v {
-					c.events = append(c.events, ch.Event)
+		if has && v >= k.logStart {
+			for _, entry := range k.log {
+				if entry.version > v {
+					c.events = append(c.events, entry.Event)
 				}
 			}
 		} else {
@@ -204,16 +207,16 @@
 				c.events = append(c.events, NewEvent(o, false))
 			}
 		}
-		all = append(all, c)
+		missing = append(missing, c)
 	}
-	return all
+	return missing
 }
 
-// Merge takes in what a neighbour sent.
-func (m *Mirror) Merge(all []Changes) {
-	for _, c := range all {
+// Merge applies the changes received from a peer. It ignores unknown kinds.
+func (m *Mirror) Merge(changes []Changes) {
+	for _, c := range changes {
 		if _, ok := m.kinds[c.kind]; !ok {
-			continue // A newer neighbour mirrors more kinds.
+			continue // A peer of a newer version may mirror more kinds.
 		}
 		if c.full {
 			objects := make([]Object, len(c.events))
@@ -224,13 +227,13 @@
 		} else {
 			m.Apply(c.kind, c.events, c.version)
 		}
-		m.raise(c.kind, c.version)
+		m.raiseVersion(c.kind, c.version)
 	}
 }
 
-// raise notes that all changes up to version are known, so that they are not
-// fetched again.
-func (m *Mirror) raise(name string, version uint64) {
+// raiseVersion records that all changes up to version are known, so that they
+// are not fetched again.
+func (m *Mirror) raiseVersion(name string, version uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	k := m.kinds[name]
--- a/mirror/object.go
+++ b/mirror/object.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// Object is one object of the store.
+// Object is one object of the store, in its encoded form.
 type Object struct {
 	name     string
 	revision uint64
@@ -10,16 +10,16 @@
 	status   []byte
 }
 
-// NewObject returns the object of that name as of revision. Spec and status are
-// encoded as the store sent them.
+// NewObject returns the object with the given name at a store revision. Spec
+// and status are in the encoding received from the store.
 func NewObject(name string, revision uint64, spec, status []byte) Object {
 	return Object{name: name, revision: revision, spec: spec, status: status}
 }
 
-// Name returns the name, which is unique within its kind.
+// Name returns the object's name, which is unique within its kind.
 func (o Object) Name() string { return o.name }
 
-// Revision returns the store's revision of the last change.
+// Revision returns the store revision of the last change.
 func (o Object) Revision() uint64 { return o.revision }
 
 // Spec returns the encoded specification.
@@ -38,10 +38,10 @@
 	deleted bool
 }
 
-// NewEvent returns the event that o was set or deleted.
+// NewEvent returns the event that o was set, or that it was deleted.
 func NewEvent(o Object, deleted bool) Event { return Event{object: o, deleted: deleted} }
 
-// Object returns the object after the change, or before its deletion.
+// Object returns the object after the change, or its state before the deletion.
 func (e Event) Object() Object { return e.object }
 
 // Deleted reports whether the object was deleted.
--- a/mirror/rpc.go
+++ b/mirror/rpc.go
@@ -11,27 +11,28 @@
 	"medlaryard.example/medlaryard/mirror/mirrorpb"
 )
 
-// minCompressed is the size in bytes from which answers are compressed; smaller
-// ones fit one packet.
-const minCompressed = 1400
+// minCompressedBytes is the minimum size of a compressed response. Smaller ones
+// fit into one packet.
+const minCompressedBytes = 1400
 
-// Handler serves the changes of m to neighbours. All daemons that start need the
-// whole copy at once, so that the link of the first one that has it would be
-// full; compressed answers take about a fifth.
+// Handler returns a handler that serves the changes of m to peers. Daemons that
+// start at the same time all need the whole copy, which would saturate the link
+// of the first daemon that has it. Compression reduces responses to about a
+// fifth.
 func Handler(m *Mirror) (http.Handler, error) {
-	compressed, err := gzhttp.NewWrapper(gzhttp.MinSize(minCompressed), gzhttp.CompressionLevel(gzip.BestSpeed))
+	wrapper, err := gzhttp.NewWrapper(gzhttp.MinSize(minCompressedBytes), gzhttp.CompressionLevel(gzip.BestSpeed))
 	if err != nil {
-		return nil, eris.Wrap(err, "compression of answers to neighbours")
+		return nil, eris.Wrap(err, "configure compression of peer responses")
 	}
-	return compressed(mirrorpb.NewMirrorServer(service{m})), nil
+	return wrapper(mirrorpb.NewMirrorServer(rpcService{m})), nil
 }
 
-type service struct{ mirror *Mirror }
+type rpcService struct{ mirror *Mirror }
 
-// Changes implements the rpc.
-func (s service) Changes(_ context.Context, r *mirrorpb.ChangesRequest) (*mirrorpb.ChangesReply, error) {
+// Changes implements the Changes method of the Mirror service.
+func (s rpcService) Changes(_ context.Context, r *mirrorpb.ChangesRequest) (*mirrorpb.ChangesReply, error) {
 	reply := &mirrorpb.ChangesReply{}
-	for _, c := range s.mirror.Since(r.GetVersions()) {
+	for _, c := range s.mirror.ChangesSince(r.GetVersions()) {
 		kc := &mirrorpb.KindChanges{Kind: c.kind, Version: c.version, Full: c.full}
 		for _, e := range c.events {
 			kc.Events = append(kc.Events, &mirrorpb.Event{
@@ -44,22 +45,23 @@
 	return reply, nil
 }
 
-// Fetch brings m up to date from the neighbour at address.
+// Fetch requests the changes that m is missing from the peer at address and
+// merges them.
 func Fetch(ctx context.Context, client *http.Client, address string, m *Mirror) error {
 	c := mirrorpb.NewMirrorProtobufClient("http://"+address, client)
 	reply, err := c.Changes(ctx, &mirrorpb.ChangesRequest{Versions: m.Versions()})
 	if err != nil {
 		return err
 	}
-	var all []Changes
+	var changes []Changes
 	for _, kc := range reply.GetKinds() {
 		ch := Changes{kind: kc.GetKind(), version: kc.GetVersion(), full: kc.GetFull()}
 		for _, e := range kc.GetEvents() {
 			o := NewObject(e.GetName(), e.GetRevision(), e.GetSpec(), e.GetStatus())
 			ch.events = append(ch.events, NewEvent(o, e.GetDeleted()))
 		}
-		all = append(all, ch)
+		changes = append(changes, ch)
 	}
-	m.Merge(all)
+	m.Merge(changes)
 	return nil
 }
--- a/mirror/store.go
+++ b/mirror/store.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// ErrHistoryGone is the error of a watch from a revision that the store has
-// forgotten; the kind must be listed again.
+// ErrHistoryGone is returned by a watch from a revision whose history the store
+// has dropped. The kind must then be listed again.
 var ErrHistoryGone = errors.New("the store has dropped the history since this revision")
 
-// Store is how the platform's store is read.
+// Store holds the functions with which a mirror reads the platform's store.
 type Store struct {
-	// List returns all objects of a kind and the store's revision.
+	// List returns all objects of a kind and the store revision of the list.
 	List func(ctx context.Context, kind string) ([]Object, uint64, error)
-	// Watch returns the changes of a kind after a revision, and the revision
-	// from which to continue. It returns none after wait.
+	// Watch returns the changes of a kind after a revision, and the revision from
+	// which to continue. It returns no events if none occur within wait.
 	Watch func(ctx context.Context, kind string, after uint64, wait time.Duration) ([]Event, uint64, error)
-	// Ping makes a cheap call that shows whether the store answers.
+	// Ping sends a cheap request that shows whether the store answers.
 	Ping func(ctx context.Context) error
 }
--- a/node/watching.go
+++ b/node/watching.go
@@ -25,7 +25,7 @@
 		}
 	}
 	d.follower.Run(ctx,
-		mirror.Leading(mirror.NewKind(platform.KindConfig, configRelistInterval, 0)),
+		mirror.ReadFirst(mirror.NewKind(platform.KindConfig, configRelistInterval, 0)),
 		mirror.NewKind(platform.KindTargets, targetsRelistInterval, changeBatchDelay),
 		mirror.NewKind(platform.KindMoves, ordersRelistInterval, 0),
 		mirror.NewKind(platform.KindEvacuations, ordersRelistInterval, 0),
@@ -70,7 +70,7 @@
 func (d *Daemon) shouldWatch() bool {
 	others, preceding := 0, 0
 	for _, m := range d.fleet.Alive() {
-		if m.Leaving() || m.StoreAge() >= mirror.FreshContact {
+		if m.Leaving() || m.StoreAge() >= mirror.MaxContactAge {
 			continue
 		}
 		others++
