--- a/meter/doc.go
+++ b/meter/doc.go
@@ -1,3 +1,4 @@
-// Package meter counts what the daemon does, in one go-metrics registry, and
-// renders the registry as text that common scrapers read.
+// Package meter records the daemon's metrics in the default go-metrics registry
+// and renders the registry in the Prometheus text format. All functions are
+// safe for concurrent use. Metrics are created on first use.
 package meter
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -6,28 +6,28 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Count adds n to the counter of that name. Names are dotted lower case, for
-// example "home.hedge.sent".
+// Count adds n to the counter with the given name. Names are lower case and
+// separated by dots, for example "home.hedge.sent".
 func Count(name string, n int64) {
 	metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Inc(n)
 }
 
-// Value returns the counter of that name.
+// Value returns the value of the counter with the given name.
 func Value(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Count()
 }
 
-// Gauge sets the gauge of that name.
+// Gauge sets the gauge with the given name to v.
 func Gauge(name string, v int64) {
 	metrics.GetOrRegisterGauge(name, metrics.DefaultRegistry).Update(v)
 }
 
-// Refused counts a refusal given by a component, for example "entry".
+// Refused counts a refusal by a component, for example "entry", under its kind.
 func Refused(component string, kind refusal.Kind) {
 	Count(component+".refused."+string(kind), 1)
 }
 
-// Retried counts a retry sent by a component with its reason.
+// Retried counts a retry by a component under its reason.
 func Retried(component string, reason refusal.Kind) {
 	Count(component+".retried."+string(reason), 1)
 }
--- a/meter/text.go
+++ b/meter/text.go
@@ -10,26 +10,27 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// namespace starts every exposed name.
+// namespace is the prefix of all exposed metric names.
 const namespace = "medlaryard_"
 
-// quantiles are the quantiles of histograms that WriteText renders.
+// quantiles are the histogram quantiles that WriteText renders.
 var quantiles = []float64{0.5, 0.9, 0.95, 0.99, 0.999}
 
-// WriteText renders the registry in the text exposition format 0.0.4, ordered
-// by name. Counters end in _total; histograms become summaries in the unit in
-// which they were sampled.
+// WriteText writes all metrics to w in the text exposition format 0.0.4,
+// ordered by name. Counter names end in _total. Histograms are rendered as
+// summaries in the unit of their samples. It returns the first error of writing
+// to w.
 func WriteText(w io.Writer) error {
 	var names []string
-	found := make(map[string]any)
+	byName := make(map[string]any)
 	metrics.DefaultRegistry.Each(func(name string, m any) {
 		names = append(names, name)
-		found[name] = m
+		byName[name] = m
 	})
 	slices.Sort(names)
 	out := bufio.NewWriter(w)
 	for _, name := range names {
-		writeMetric(out, exposed(name), found[name])
+		writeMetric(out, expositionName(name), byName[name])
 	}
 	return out.Flush()
 }
@@ -52,8 +53,9 @@
 	}
 }
 
-// exposed maps a dotted name to the characters that the format permits.
-func exposed(name string) string {
+// expositionName returns the name with the namespace. Characters that the
+// format does not permit become underscores.
+func expositionName(name string) string {
 	return namespace + strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
 			return r
--- a/meter/text_test.go
+++ b/meter/text_test.go
@@ -8,9 +8,9 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-// Guards against an exposition that scrapers reject: a name with other
-// characters than the format permits, a sample without a type, or a missing one.
-func TestTextExposition(t *testing.T) {
+// Guards against output that scrapers reject: a name with characters that the
+// format does not permit, a sample without a type, or a missing sample.
+func TestWriteText(t *testing.T) {
 	Refused("test", refusal.Deadline)
 	Count("test.requests.rights-ledger", 3)
 	Gauge("test.in_flight", 7)
