--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -217,13 +217,13 @@
 	f.onHeartbeat(m)
 }
 
-// Alive returns the daemons whose last heartbeat is at most LostAfter old,
-// ordered by name.
-func (f *Fleet) Alive() []Member { return f.membersWithin(LostAfter) }
+// AliveMembers returns the daemons whose last heartbeat is at most LostAfter
+// old, ordered by name.
+func (f *Fleet) AliveMembers() []Member { return f.membersWithin(LostAfter) }
 
-// Known returns the daemons that sent a heartbeat and have not been removed
-// yet, ordered by name.
-func (f *Fleet) Known() []Member { return f.membersWithin(forgetAfter) }
+// KnownMembers returns the daemons that sent a heartbeat and have not been
+// removed yet, ordered by name.
+func (f *Fleet) KnownMembers() []Member { return f.membersWithin(forgetAfter) }
 
 func (f *Fleet) membersWithin(silence time.Duration) []Member {
 	f.mu.Lock()
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -39,8 +39,8 @@
 	// idlePollInterval is how often a daemon that does not watch checks whether it
 	// should.
 	idlePollInterval = 100 * time.Millisecond
-	// startPollInterval is how often an unknown kind checks whether the store
-	// answers. It is short because callers wait in the meantime.
+	// startPollInterval is how often a kind that has not been read yet checks
+	// whether the store answers. It is short because callers wait in the meantime.
 	startPollInterval = 10 * time.Millisecond
 )
 
@@ -49,8 +49,7 @@
 // response time.
 const MaxContactAge = 2*pingInterval + 300*time.Millisecond
 
-// Follower keeps a mirror up to date from the store. A Follower must be created
-// with NewFollower and run once.
+// Follower keeps a mirror up to date from the store.
 type Follower struct {
 	mirror      *Mirror
 	store       Store
@@ -123,7 +122,8 @@
 	return f.clock.Boot() - time.Duration(last)
 }
 
-// Connected reports whether the last call to the store was answered.
+// Connected reports whether the store answers. After a failed call it remains
+// true until the last contact is older than MaxContactAge.
 func (f *Follower) Connected() bool { return f.connected.Load() }
 
 func (f *Follower) follow(ctx context.Context, k Kind) {
--- a/node/addresses.go
+++ b/node/addresses.go
@@ -18,20 +18,20 @@
 
 // callerEndpoints returns the daemons whose addresses may be given to callers.
 // It prefers live daemons and falls back to those that have stopped sending
-// heartbeats. This daemon is included if it can serve callers, or if no other
-// daemon is known.
+// heartbeats. If this daemon is ready, it is included if it can serve callers
+// or if no other daemon is available.
 func (d *Daemon) callerEndpoints() []callerEndpoint {
 	serving := d.serving.names()
-	endpoints := d.endpointsOf(d.fleet.Alive(), func(m fleet.Member) servingState {
+	endpoints := d.endpointsOf(d.fleet.AliveMembers(), func(m fleet.Member) servingState {
 		if serving[m.Name()] {
 			return stateServing
 		}
 		return stateStandby
 	})
 	if len(endpoints) == 0 {
-		endpoints = d.endpointsOf(d.fleet.Known(), func(fleet.Member) servingState { return stateSilent })
+		endpoints = d.endpointsOf(d.fleet.KnownMembers(), func(fleet.Member) servingState { return stateSilent })
 	}
-	own := callerEndpoint{address: d.settings.Callers(), region: d.settings.Region(), state: stateSilent}
+	own := callerEndpoint{address: d.settings.CallersAddress(), region: d.settings.Region(), state: stateSilent}
 	canServe := d.canServe()
 	switch {
 	case canServe && d.serving.includesSelf():
--- a/node/apply.go
+++ b/node/apply.go
@@ -82,7 +82,7 @@
 // updateGroups passes each group its targets and schedules the next update for
 // when a missing target expires.
 func (d *Daemon) updateGroups(now time.Time) {
-	entries, nextExpiry := d.targetCache.entries(now, d.evacuated())
+	entries, nextExpiry := d.targetCache.entries(now, d.evacuatedDomains())
 	for name, g := range d.groups {
 		g.Update(entries[name])
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-// evacuated returns the failure domains that operators have evacuated.
-func (d *Daemon) evacuated() map[string]bool {
+// evacuatedDomains returns the failure domains that operators have evacuated.
+func (d *Daemon) evacuatedDomains() map[string]bool {
 	domains := make(map[string]bool)
 	for _, o := range d.mirror.Objects(platform.KindEvacuations) {
 		domains[o.Name()] = true
--- a/node/daemon.go
+++ b/node/daemon.go
@@ -34,8 +34,9 @@
 	// watch, which then returns several changes at once. A draining target serves
 	// for at least 3 s.
 	changeBatchDelay = 200 * time.Millisecond
-	// peerCallTimeout limits one call to another daemon.
-	peerCallTimeout = 700 * time.Millisecond
+	// callTimeout limits one call to another daemon, and the write of a move's
+	// state to the store.
+	callTimeout = 700 * time.Millisecond
 	// resizeInterval is the time between adjustments of the limits to the fleet
 	// size.
 	resizeInterval = time.Second
@@ -121,7 +122,7 @@
 
 func (d *Daemon) run(ctx context.Context) error {
 	s := d.settings
-	d.log.Info().Str("zone", s.Domain()).Str("callers", s.Callers()).Str("store", s.Store()).Msg("daemon starts")
+	d.log.Info().Str("zone", s.Domain()).Str("callers", s.CallersAddress()).Str("store", s.StoreAddress()).Msg("daemon starts")
 	if err := d.listen(); err != nil {
 		return err
 	}
@@ -142,7 +143,7 @@
 func newDaemon(s Settings, c clock.Clock, l zerolog.Logger) *Daemon {
 	d := &Daemon{
 		settings: s, clock: c, log: l,
-		store:         platform.NewStore(s.Store()),
+		store:         platform.NewStore(s.StoreAddress()),
 		incarnation:   rand.Uint64(),
 		started:       make(chan struct{}),
 		changed:       make(chan struct{}, 1),
@@ -155,7 +156,7 @@
 		failures:      make(chan error, 1),
 		peers: &http.Client{Transport: &http.Transport{
 			DialContext: (&net.Dialer{
-				Timeout:         peerCallTimeout,
+				Timeout:         callTimeout,
 				KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: peerKeepAliveIdle, Interval: peerKeepAliveIdle / 2, Count: 2},
 			}).DialContext,
 		}},
--- a/node/daemon_test.go
+++ b/node/daemon_test.go
@@ -16,7 +16,7 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// Guards against components that do not work together: it checks the directory,
+// Guards against components that fail in combination. Covers the directory,
 // merged and single answers, and the statuses of requests that cannot be
 // served.
 func TestRequestPath(t *testing.T) {
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -11,7 +11,7 @@
 func (d *Daemon) updateGauges() {
 	index, serving := d.serving.position()
 	meter.Gauge("daemons.serving", int64(serving))
-	meter.Gauge("daemons.alive", int64(len(d.fleet.Alive())))
+	meter.Gauge("daemons.alive", int64(len(d.fleet.AliveMembers())))
 	meter.Gauge("daemon.serves", boolGauge(index >= 0))
 	meter.Gauge("daemon.leaving", boolGauge(d.leaving.Load()))
 	meter.Gauge("store.age_ms", d.follower.StoreAge().Milliseconds())
--- a/node/listen.go
+++ b/node/listen.go
@@ -29,10 +29,10 @@
 		address string
 		handler http.Handler
 	}{
-		{d.settings.Callers(), platform.NewHandler(d.engine, d.clock, d.leaving.Load, platform.Started(d.started))},
-		{d.settings.Ready(), platform.Ready(d.ready)},
-		{d.settings.Directory(), platform.Directory(d.addresses, d.settings.AddressTTL())},
-		{d.settings.Operators(), operatorsHandler(d.updateGauges)},
+		{d.settings.CallersAddress(), platform.NewHandler(d.engine, d.clock, d.leaving.Load, platform.WaitForStart(d.started))},
+		{d.settings.ReadyAddress(), platform.ReadinessHandler(d.ready)},
+		{d.settings.DirectoryAddress(), platform.DirectoryHandler(d.addresses, d.settings.AddressTTL())},
+		{d.settings.OperatorsAddress(), operatorsHandler(d.updateGauges)},
 		{d.settings.PeerAddress(), peerHandler},
 	} {
 		if err := d.serve(l.address, l.handler); err != nil {
--- a/node/moves.go
+++ b/node/moves.go
@@ -72,7 +72,7 @@
 	}
 	oldTally, newTally := g.Evidence()
 	elapsed := d.clock.Boot() - m.orderedAt
-	for _, member := range d.fleet.Alive() {
+	for _, member := range d.fleet.AliveMembers() {
 		for _, e := range member.Moves() {
 			if e.GetService() == o.Service() && e.GetVersion() == o.Version() {
 				oldTally = oldTally.Add(upgrade.NewTally(int(e.GetOldRequests()), int(e.GetOldBad())))
@@ -101,7 +101,7 @@
 // publish writes the state of a move to the store. The store rejects the write
 // if the order has changed in the meantime.
 func (d *Daemon) publish(ctx context.Context, o platform.Order, state upgrade.State) {
-	callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := d.store.PublishState(callCtx, o, state); err != nil {
 		d.log.Warn().Err(err).Str("service", o.Service()).Str("state", string(state)).Msg("publishing the state of a move failed; retrying at the next evaluation")
--- a/node/peers.go
+++ b/node/peers.go
@@ -49,7 +49,7 @@
 func (d *Daemon) heartbeat() *mirrorpb.Heartbeat {
 	return &mirrorpb.Heartbeat{
 		Name: d.settings.Name(), Incarnation: d.incarnation, Zone: d.settings.Domain(),
-		Front: d.settings.Callers(), Peer: d.settings.PeerAddress(),
+		Front: d.settings.CallersAddress(), Peer: d.settings.PeerAddress(),
 		Leaving: d.leaving.Load(), Serving: d.canServe(),
 		StoreAgeMs: uint32(min(d.follower.StoreAge(), time.Hour).Milliseconds()),
 		Versions:   d.mirror.Versions(),
@@ -86,7 +86,7 @@
 		case <-ctx.Done():
 			return
 		case address := <-d.fetches:
-			callCtx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			if err := mirror.Fetch(callCtx, d.peers, address, d.mirror); err != nil && ctx.Err() == nil {
 				meter.Count("node.fetch_failed", 1)
 				d.log.Warn().Err(err).Str("peer", address).Msg("fetching changes from a peer failed; waiting for its next heartbeat")
--- a/node/reports.go
+++ b/node/reports.go
@@ -94,7 +94,7 @@
 	if !d.serving.includesSelf() || m.Name() == d.settings.Name() {
 		return
 	}
-	reports := d.reportCursors.cursor(m.PeerAddress(), d.fleet.Known).newReports(m.Incarnation(), m.Reports())
+	reports := d.reportCursors.cursor(m.PeerAddress(), d.fleet.KnownMembers).newReports(m.Incarnation(), m.Reports())
 	if len(reports) == 0 {
 		return
 	}
--- a/node/serving.go
+++ b/node/serving.go
@@ -102,8 +102,8 @@
 	return slices.IndexFunc(cs, func(c fleet.Candidate) bool { return c.Name() == name })
 }
 
-// registered returns all registered daemons.
-func (s *servingSet) registered() []fleet.Candidate {
+// registeredDaemons returns all registered daemons.
+func (s *servingSet) registeredDaemons() []fleet.Candidate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.candidates
@@ -133,7 +133,7 @@
 	}
 	serving := d.serving.names()
 	addresses := make(map[string]bool)
-	for _, c := range d.serving.registered() {
+	for _, c := range d.serving.registeredDaemons() {
 		if round%standbyHeartbeatRounds == 0 || serving[c.Name()] {
 			addresses[c.PeerAddress()] = true
 		}
@@ -143,7 +143,7 @@
 			addresses[a] = true
 		}
 	}
-	for _, m := range d.fleet.Alive() {
+	for _, m := range d.fleet.AliveMembers() {
 		addresses[m.PeerAddress()] = true
 	}
 	return slices.Collect(maps.Keys(addresses))
--- a/node/settings.go
+++ b/node/settings.go
@@ -126,18 +126,18 @@
 // RegionOf returns the region of a failure domain, or "" if it is unknown.
 func (s Settings) RegionOf(domain string) string { return s.file.RegionByDomain[domain] }
 
-// Callers returns the address of the callers' listener.
-func (s Settings) Callers() string { return s.file.Listen.Callers }
+// CallersAddress returns the address of the callers' listener.
+func (s Settings) CallersAddress() string { return s.file.Listen.Callers }
 
-// Ready returns the address of the readiness check's listener.
-func (s Settings) Ready() string { return s.file.Listen.Ready }
+// ReadyAddress returns the address of the readiness check's listener.
+func (s Settings) ReadyAddress() string { return s.file.Listen.Ready }
 
-// Directory returns the address of the listener at which callers look up daemon
-// addresses.
-func (s Settings) Directory() string { return s.file.Listen.Directory }
+// DirectoryAddress returns the address of the listener at which callers look up
+// daemon addresses.
+func (s Settings) DirectoryAddress() string { return s.file.Listen.Directory }
 
-// Operators returns the address of the listener for metrics.
-func (s Settings) Operators() string { return s.file.Listen.Operators }
+// OperatorsAddress returns the address of the listener for metrics.
+func (s Settings) OperatorsAddress() string { return s.file.Listen.Operators }
 
 // PeerAddress returns this daemon's address for other daemons, used over TCP
 // and UDP.
@@ -150,8 +150,8 @@
 // Capacity returns the capacity of the VM in CPU cores, or 0 if it is unknown.
 func (s Settings) Capacity() float64 { return s.file.Capacity }
 
-// Store returns the address of the platform's store.
-func (s Settings) Store() string { return s.file.Store.Address }
+// StoreAddress returns the address of the platform's store.
+func (s Settings) StoreAddress() string { return s.file.Store.Address }
 
 // AddressTTL returns how long callers may cache the addresses from the
 // directory.
--- a/node/watching.go
+++ b/node/watching.go
@@ -69,7 +69,7 @@
 // standby daemon watches only if no other daemon reaches the store.
 func (d *Daemon) shouldWatch() bool {
 	others, preceding := 0, 0
-	for _, m := range d.fleet.Alive() {
+	for _, m := range d.fleet.AliveMembers() {
 		if m.Leaving() || m.StoreAge() >= mirror.MaxContactAge {
 			continue
 		}
