--- a/catalogue/diff/change.go
+++ b/catalogue/diff/change.go
@@ -5,49 +5,49 @@
 	"strings"
 )
 
-// Verb is what happened to an entry.
-type Verb string
+// Operation is the kind of a Change: added, removed or changed.
+type Operation string
 
-// The verbs, as they stand at the start of a line.
+// The operations, as written at the start of a line.
 const (
-	Added   Verb = "+"
-	Removed Verb = "-"
-	Changed Verb = "~"
+	Added   Operation = "+"
+	Removed Operation = "-"
+	Changed Operation = "~"
 )
 
-// Change is one line of a difference.
+// Change is one difference between two estates, written as one line.
 type Change struct {
-	verb   Verb
-	kind   string
-	name   string
-	count  int
-	fields []Field
+	operation Operation
+	kind      string
+	name      string
+	count     int
+	fields    []Field
 }
 
-// Verb is what happened.
-func (c Change) Verb() Verb { return c.verb }
+// Operation returns whether the entry was added, removed or changed.
+func (c Change) Operation() Operation { return c.operation }
 
 // Kind is the kind of the entry, for example "service".
 func (c Change) Kind() string { return c.kind }
 
-// Name names the entry, or the first and last of several equal changes.
+// Name is the name of the entry, or "first to last" if Count is more than 1.
 func (c Change) Name() string { return c.name }
 
-// Count is the number of entries that changed alike.
+// Count is the number of entries that Change stands for; all changed in the same way.
 func (c Change) Count() int { return c.count }
 
 // Fields are the changed values, or all values of an added or removed entry.
 func (c Change) Fields() []Field { return c.fields }
 
-// String returns the line without a line break.
+// String returns the line without a newline.
 func (c Change) String() string {
 	var values []string
 	for _, f := range c.fields {
 		values = append(values, f.String())
 	}
-	what := c.kind
+	subject := c.kind
 	if c.count > 1 {
-		what = fmt.Sprintf("%d %ss", c.count, c.kind)
+		subject = fmt.Sprintf("%d %ss", c.count, c.kind)
 	}
-	return fmt.Sprintf("%s %s %s: %s", c.verb, what, c.name, strings.Join(values, ", "))
+	return fmt.Sprintf("%s %s %s: %s", c.operation, subject, c.name, strings.Join(values, ", "))
 }
--- a/catalogue/diff/doc.go
+++ b/catalogue/diff/doc.go
@@ -1,2 +1,2 @@
-// Package diff states in readable lines how two estates differ.
+// Package diff compares two estates and formats their differences, one per line.
 package diff
--- a/catalogue/diff/estates_test.go
+++ b/catalogue/diff/estates_test.go
@@ -11,9 +11,9 @@
 	"medlaryard.example/medlaryard/catalogue/evaluate"
 )
 
-// Guards against a change that check and apply do not show, and against a row
-// of replicas that fills the screen.
-func TestEstatesShowsEachChangeOnce(t *testing.T) {
+// Guards against a change that the commands check and apply do not show, and
+// against one line per searcher for a change to a row of replicas.
+func TestEstates(t *testing.T) {
 	tests := []struct {
 		name, old, new string
 		want           string
--- a/catalogue/diff/field.go
+++ b/catalogue/diff/field.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Field is one value of an entry, before and after.
+// Field is one value of an entry. For a change, after is the new value; otherwise it
+// is empty.
 type Field struct {
 	name  string
 	value string
--- a/catalogue/diff/item.go
+++ b/catalogue/diff/item.go
@@ -8,7 +8,7 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// item is one entry in a form that can be compared: names of equal kind are unique.
+// item is one entry in comparable form. Its name is unique among items of its kind.
 type item struct {
 	kind   string
 	name   string
@@ -23,11 +23,11 @@
 	i := item{kind: kind, name: name}
 	i.add("owner", e.Owner())
 	i.add("class", e.Class())
-	i.add("limits", limits(e.Limits()))
+	i.add("limits", formatLimits(e.Limits()))
 	return i
 }
 
-func limits(l catalogue.Limits) string {
+func formatLimits(l catalogue.Limits) string {
 	return fmt.Sprintf("%v/s and %d in flight", l.Rate(), l.Concurrency())
 }
 
@@ -44,7 +44,7 @@
 		i := newItem("owner", o.Name(), o.Entry)
 		for _, c := range []catalogue.Class{catalogue.Interactive, catalogue.Batch} {
 			if l, ok := o.ClassLimits()[c]; ok {
-				i.add(string(c), limits(l))
+				i.add(string(c), formatLimits(l))
 			} else {
 				i.add(string(c), "denied")
 			}
@@ -94,8 +94,9 @@
 	return i
 }
 
-// searcherItem is named by its address, which is unique in the estate. The
-// shard is left out of the fields, so that a row of replicas changes alike.
+// searcherItem names the item by the searcher's address, which is unique in the
+// estate. The fields omit the shard, so that the searchers of a row of replicas have
+// equal fields and their changes are merged.
 func searcherItem(s *catalogue.Service, sh *catalogue.Shard, r *catalogue.Searcher) item {
 	i := newItem("searcher", s.Name()+"/"+sh.Name()+"/"+r.Address(), r.Entry)
 	i.add("domain", r.Domain())
--- a/catalogue/estate.go
+++ b/catalogue/estate.go
@@ -12,7 +12,7 @@
 	Services []*Service
 }
 
-// Estate is an accepted catalogue: everything that operators declared, at one generation.
+// Estate is an accepted catalogue at one generation.
 type Estate struct {
 	spec EstateSpec
 }
@@ -34,14 +34,14 @@
 // Services are the services, in catalogue order.
 func (e Estate) Services() []*Service { return e.spec.Services }
 
-// Domain finds a failure domain by name.
-func (e Estate) Domain(name string) (*Domain, bool) { return find(e.spec.Domains, name) }
+// Domain returns the failure domain with the given name.
+func (e Estate) Domain(name string) (*Domain, bool) { return findByName(e.spec.Domains, name) }
 
-// Owner finds an owner by name.
-func (e Estate) Owner(name string) (*Owner, bool) { return find(e.spec.Owners, name) }
+// Owner returns the owner with the given name.
+func (e Estate) Owner(name string) (*Owner, bool) { return findByName(e.spec.Owners, name) }
 
-// Service finds a service by name.
-func (e Estate) Service(name string) (*Service, bool) { return find(e.spec.Services, name) }
+// Service returns the service with the given name.
+func (e Estate) Service(name string) (*Service, bool) { return findByName(e.spec.Services, name) }
 
 // InService reports whether the failure domain accepts new work.
 // A domain that the catalogue does not list accepts none.
@@ -52,12 +52,12 @@
 
 type named interface{ Name() string }
 
-func find[T named](entries []T, name string) (T, bool) {
+func findByName[T named](entries []T, name string) (T, bool) {
 	for _, e := range entries {
 		if e.Name() == name {
 			return e, true
 		}
 	}
-	var none T
-	return none, false
+	var zero T
+	return zero, false
 }
--- a/catalogue/evaluate/address.go
+++ b/catalogue/evaluate/address.go
@@ -9,7 +9,7 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// address is one searcher address with the node that declares it.
+// address is one searcher address and the node that declares it.
 type address struct {
 	text string
 	node *syntax.Node
@@ -19,8 +19,9 @@
 
 var rangePattern = regexp.MustCompile(`^([^\[\]]*)\[([0-9]{1,5})-([0-9]{1,5})\]([^\[\]]*)$`)
 
-// expand reads addresses and ranges of addresses.
-func (e *evaluator) expand(list []*syntax.Node) ([]address, bool) {
+// expandAddresses returns all addresses that list declares one by one or as ranges. It
+// returns false if an element is faulty or the estate has too many searchers.
+func (e *evaluator) expandAddresses(list []*syntax.Node) ([]address, bool) {
 	var out []address
 	ok := true
 	for _, n := range list {
@@ -30,8 +31,8 @@
 			ok = false
 			continue
 		}
-		e.searchers += len(texts)
-		if e.searchers > maxSearchers {
+		e.searcherCount += len(texts)
+		if e.searcherCount > maxSearchers {
 			e.problems.AddAt(n, fmt.Sprintf("at most %d searchers in the estate", maxSearchers), "more")
 			return nil, false
 		}
@@ -42,7 +43,8 @@
 	return out, ok
 }
 
-// expandRange returns the addresses that n stands for, or nil when it is not an address.
+// expandRange returns the addresses that n declares, or nil if n is neither an address
+// nor a range of addresses.
 func expandRange(n *syntax.Node) []string {
 	if n.Kind() != syntax.Text {
 		return nil
--- a/catalogue/evaluate/bounds.go
+++ b/catalogue/evaluate/bounds.go
@@ -7,7 +7,7 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Defaults of keys that a catalogue may leave out.
+// Defaults of optional keys.
 const (
 	DefaultGroupSize       = 16
 	DefaultMaxDeadline     = 2 * time.Second
@@ -22,25 +22,25 @@
 	DefaultPolicy          = catalogue.Current
 )
 
-// maxSearchers bounds the estate that one text can expand to. The size planned
-// for is 65,000.
+// maxSearchers bounds the estate that one text can expand to. The planned size is
+// 65,000 searchers.
 const maxSearchers = 200_000
 
-// The types of all scalars with their bounds.
+// The types of the scalars with their bounds.
 var (
 	rateType        = syntax.FloatBetween(0.1, 10_000_000, "requests a second")
 	concurrencyType = syntax.IntBetween(1, 10_000_000, "requests in flight")
 	classType       = syntax.OneOf(catalogue.Interactive, catalogue.Batch)
 	policyType      = syntax.OneOf(catalogue.Baseline, catalogue.Current)
 	slotsType       = syntax.IntBetween(1, 1024, "requests")
-	// Half of the reserved fifth of fewer than 10 connections would leave an
-	// acting home without any.
+	// A fifth of the connections is reserved, and half of the reserved ones are for
+	// an acting home. With fewer than 10 connections, that would be none.
 	connectionsType = syntax.IntBetween(10, 100_000, "connections")
 	coldLimitType   = syntax.IntBetween(1, 1024, "requests in flight")
 	countType       = syntax.IntBetween(1, 10_000, "shards")
 	groupSizeType   = syntax.IntBetween(1, 64, "searchers")
-	// A shutdown waits 5 s for cached addresses and then for the longest
-	// deadline, and is cut off after 60 s.
+	// A shutdown waits 5 s until cached addresses have expired and then for the
+	// longest deadline. It is terminated after 60 s.
 	deadlineType     = syntax.DurationBetween(time.Millisecond, 50*time.Second)
 	quantileType     = syntax.FloatBetween(0.5, 0.999, "")
 	budgetType       = syntax.FloatBetween(0, 0.5, "")
--- a/catalogue/evaluate/build.go
+++ b/catalogue/evaluate/build.go
@@ -6,9 +6,9 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// build checks what only the complete text shows and returns the estate's values.
+// build does the checks that need all documents and returns the estate's values.
 func (e *evaluator) build(sources []load.Source) catalogue.EstateSpec {
-	e.resolve()
+	e.checkReferences()
 	name := ""
 	if len(sources) > 0 {
 		name = sources[0].Name()
--- a/catalogue/evaluate/compact.go
+++ b/catalogue/evaluate/compact.go
@@ -8,9 +8,9 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// compact reads shards given by count and rows of replicas. Address i of a row
-// belongs to shard i modulo count.
-func (e *evaluator) compact(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
+// compactShards reads shards that are declared as a count and rows of replicas. The
+// address at index i of a row belongs to shard i modulo count.
+func (e *evaluator) compactShards(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
 	count := syntax.Required(m, "count", countType)
@@ -24,7 +24,7 @@
 		specs[i].Name = shardName(i, count)
 	}
 	for _, row := range rows {
-		e.row(row, service, defaults, specs)
+		e.replicaRow(row, service, defaults, specs)
 	}
 	shards := make([]*catalogue.Shard, count)
 	for i, spec := range specs {
@@ -33,18 +33,18 @@
 	return shards
 }
 
-// row adds one row of replicas to the shards.
-func (e *evaluator) row(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues, shards []catalogue.ShardSpec) {
+// replicaRow reads one row of replicas and adds its searchers to shards.
+func (e *evaluator) replicaRow(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues, shards []catalogue.ShardSpec) {
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
-	entry := e.inherit(m, service)
-	v := e.values(m, defaults)
-	e.complete(m, v)
+	entry := e.unnamedEntry(m, service)
+	v := e.searcherValues(m, defaults)
+	e.checkSearcherValues(m, v)
 	list := m.Require("addresses", "a list of searcher addresses")
 	if list == nil {
 		return
 	}
-	addresses, ok := e.expand(m.List("addresses"))
+	addresses, ok := e.expandAddresses(m.List("addresses"))
 	if !ok || len(shards) == 0 {
 		return
 	}
@@ -60,7 +60,8 @@
 	}
 }
 
-// shardName pads the number so that names sort in the order of the shards.
+// shardName returns i padded with zeros, so that the names sort in the order of the
+// shards.
 func shardName(i, count int) string {
 	return fmt.Sprintf("%0*d", max(2, len(strconv.Itoa(count-1))), i)
 }
--- a/catalogue/evaluate/entry.go
+++ b/catalogue/evaluate/entry.go
@@ -8,56 +8,56 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// entry reads name, owner, class and limits; what is left out comes from the
-// enclosing entry.
+// entry reads name, owner, class and limits. Owner, class and limits default to those
+// of the enclosing entry.
 func (e *evaluator) entry(m *syntax.Mapping, enclosing catalogue.EntrySpec) catalogue.EntrySpec {
-	spec := e.inherit(m, enclosing)
+	spec := e.unnamedEntry(m, enclosing)
 	spec.Name = syntax.Required(m, "name", syntax.Name)
 	return spec
 }
 
-// inherit is entry for an entry whose name is not in the text.
-func (e *evaluator) inherit(m *syntax.Mapping, enclosing catalogue.EntrySpec) catalogue.EntrySpec {
+// unnamedEntry reads owner, class and limits of an entry that has no key name.
+func (e *evaluator) unnamedEntry(m *syntax.Mapping, enclosing catalogue.EntrySpec) catalogue.EntrySpec {
 	spec := enclosing
 	spec.Name = ""
 	if n := m.Get("owner"); n != nil {
 		spec.Owner = e.ownerName(n)
 	} else if enclosing.Owner == "" {
 		m.Require("owner", "the name of the owner, here or in an enclosing entry")
-		spec.Owner = faulty
+		spec.Owner = invalidValue
 	}
 	if n := m.Get("class"); n != nil {
 		spec.Class = e.class(n)
 	} else if enclosing.Class == "" {
 		m.Require("class", classType.Expected()+", here or in an enclosing entry")
-		spec.Class = faulty
+		spec.Class = invalidValue
 	}
 	if n := m.Get("limits"); n != nil {
 		spec.Limits = e.limits(n)
 	} else if enclosing.Limits == (catalogue.Limits{}) {
 		m.Require("limits", "rate and concurrency, here or in an enclosing entry")
-		spec.Limits = unbounded(catalogue.LimitsSpec{})
+		spec.Limits = newLimits(catalogue.LimitsSpec{})
 	}
 	return spec
 }
 
-// faulty replaces an unreadable or missing value that entries inherit, so that its fault
-// is reported once instead of once for each of those entries.
-const faulty = "(faulty)"
+// invalidValue replaces a faulty or missing value that entries inherit, so that the
+// fault is reported once and not for each of those entries.
+const invalidValue = "(faulty)"
 
 func (e *evaluator) ownerName(n *syntax.Node) string {
 	name, ok := syntax.Name.Value(n, e.problems)
 	if !ok {
-		return faulty
+		return invalidValue
 	}
-	e.refer(n, &e.owners, name)
+	e.addReference(n, &e.owners, name)
 	return name
 }
 
 func (e *evaluator) class(n *syntax.Node) catalogue.Class {
 	class, ok := classType.Value(n, e.problems)
 	if !ok {
-		return faulty
+		return invalidValue
 	}
 	return class
 }
@@ -69,11 +69,12 @@
 		Rate:        syntax.Required(m, "rate", rateType),
 		Concurrency: syntax.Required(m, "concurrency", concurrencyType),
 	}
-	return unbounded(spec)
+	return newLimits(spec)
 }
 
-// unbounded replaces an unreadable bound by one that no comparison fails with.
-func unbounded(spec catalogue.LimitsSpec) catalogue.Limits {
+// newLimits returns the limits of spec. A faulty or missing bound is 0 in spec and
+// becomes infinite, so that no later comparison reports it again.
+func newLimits(spec catalogue.LimitsSpec) catalogue.Limits {
 	if spec.Rate == 0 {
 		spec.Rate = math.Inf(1)
 	}
@@ -98,7 +99,7 @@
 func (e *evaluator) owner(n *syntax.Node, root catalogue.EntrySpec) {
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
-	// An owner belongs to itself unless the text says otherwise.
+	// By default, an owner's entry belongs to the owner itself.
 	if name := m.Get("name"); name != nil && root.Owner == "" {
 		root.Owner = name.Scalar()
 	}
@@ -130,7 +131,8 @@
 	}
 }
 
-// exceeds compares readable bounds only.
+// exceeds reports whether l exceeds bound. Infinite bounds of l, which replace faulty
+// ones, are not compared.
 func exceeds(l, bound catalogue.Limits) bool {
 	return (!math.IsInf(l.Rate(), 1) && l.Rate() > bound.Rate()) ||
 		(l.Concurrency() != math.MaxInt && l.Concurrency() > bound.Concurrency())
--- a/catalogue/evaluate/evaluator.go
+++ b/catalogue/evaluate/evaluator.go
@@ -5,25 +5,26 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// evaluator holds what the documents read so far declare, and where.
+// evaluator collects the declarations, references and faults of the documents read so
+// far.
 type evaluator struct {
-	problems  *syntax.Problems
-	spec      catalogue.EstateSpec
-	domains   names
-	owners    names
-	services  names
-	addresses names
-	refs      []reference
-	searchers int
+	problems      *syntax.Problems
+	spec          catalogue.EstateSpec
+	domains       nameSet
+	owners        nameSet
+	services      nameSet
+	addresses     nameSet
+	references    []reference
+	searcherCount int
 }
 
 func newEvaluator(ps *syntax.Problems) *evaluator {
 	return &evaluator{
 		problems:  ps,
-		domains:   newNames("failure domain", ps),
-		owners:    newNames("owner", ps),
-		services:  newNames("service", ps),
-		addresses: newNames("searcher address", ps),
+		domains:   newNameSet("failure domain", ps),
+		owners:    newNameSet("owner", ps),
+		services:  newNameSet("service", ps),
+		addresses: newNameSet("searcher address", ps),
 	}
 }
 
@@ -43,7 +44,7 @@
 	m.Close()
 }
 
-// root reads the owner, class and limits that entries of the document inherit.
+// root reads the owner, class and limits that the entries of a document inherit.
 func (e *evaluator) root(m *syntax.Mapping) catalogue.EntrySpec {
 	var root catalogue.EntrySpec
 	if n := m.Get("owner"); n != nil {
--- a/catalogue/evaluate/examples_test.go
+++ b/catalogue/evaluate/examples_test.go
@@ -7,8 +7,9 @@
 	"medlaryard.example/medlaryard/catalogue/evaluate"
 )
 
-// Guards against examples that are refused or that miss the sizes of the users' deployments.
-func TestExamplesHaveTheSizesOfToday(t *testing.T) {
+// Guards against examples that are rejected or whose sizes differ from those of the
+// users' deployments.
+func TestExampleSizes(t *testing.T) {
 	tests := []struct {
 		file, service      string
 		domains            int
--- a/catalogue/evaluate/faults_test.go
+++ b/catalogue/evaluate/faults_test.go
@@ -9,7 +9,7 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-const valid = `owner: o
+const validText = `owner: o
 class: batch
 limits: {rate: 10, concurrency: 5}
 domains: [{name: d, region: r}]
@@ -20,9 +20,9 @@
     shards: {count: 2, replicas: [{addresses: ["127.0.0.1:[1-4]"]}]}
 `
 
-// Guards against a fault that is accepted, reported at the wrong place, or
-// reported without what was expected. Each case changes one thing in a valid text.
-func TestFaultsAreReportedWithPosition(t *testing.T) {
+// Guards against a fault that is accepted, or reported with a wrong position, path or
+// expectation. Each case makes one change to a valid text.
+func TestFaultPositions(t *testing.T) {
 	tests := []struct{ name, old, new, position, path, expected string }{
 		{"unknown key", "region: r", "region: r, colour: red", "4:32", "domains[0].colour", "one of the keys class"},
 		{"duplicate key", "class: batch\n", "class: batch\nclass: batch\n", "3:1", "class", "each key once"},
@@ -53,14 +53,14 @@
 		{"merge key", "name: s\n", "name: s\n    <<: {policy: current}\n", "8:5", "", "plain mappings"},
 		{"tag", "name: s\n", "name: !x s\n", "7:11", "", "plain mappings"},
 		{"syntax", "name: s\n", "name: [s\n", "", "", "valid YAML"},
-		{"empty", valid, "", "1:1", "services", "at least one service"},
+		{"empty", validText, "", "1:1", "services", "at least one service"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if !strings.Contains(valid, tt.old) {
+			if !strings.Contains(validText, tt.old) {
 				t.Fatalf("the valid text has no %q", tt.old)
 			}
-			_, err := evaluate.Text("f", []byte(strings.Replace(valid, tt.old, tt.new, 1)), 1)
+			_, err := evaluate.Text("f", []byte(strings.Replace(validText, tt.old, tt.new, 1)), 1)
 			var ps *syntax.Problems
 			if !errors.As(err, &ps) {
 				t.Fatalf("got error %v", err)
@@ -76,10 +76,10 @@
 	}
 }
 
-// Guards against a check that stops at the first fault, and against one fault
-// of an inherited value that repeats for every entry that inherits it.
-func TestFaultsAreCollectedOnce(t *testing.T) {
-	text := strings.NewReplacer("owner: o\n", "owner: 5\n", "class: batch\n", "class: fast\n", "region: r", "region: 7").Replace(valid)
+// Guards against a check that stops at the first fault, and against a fault in an
+// inherited value that is reported again for every entry that inherits the value.
+func TestInheritedFaultsReportedOnce(t *testing.T) {
+	text := strings.NewReplacer("owner: o\n", "owner: 5\n", "class: batch\n", "class: fast\n", "region: r", "region: 7").Replace(validText)
 	_, err := evaluate.Text("f", []byte(text), 1)
 	var ps *syntax.Problems
 	if !errors.As(err, &ps) || len(ps.List()) != 3 {
@@ -87,9 +87,9 @@
 	}
 }
 
-// Guards against entries without the values of their enclosing entry.
-func TestEntriesInherit(t *testing.T) {
-	text := strings.Replace(valid, "  - name: s\n", "  - name: s\n    class: interactive\n    limits: {rate: 3, concurrency: 2}\n", 1)
+// Guards against entries that do not inherit the values of their enclosing entry.
+func TestEntryInheritance(t *testing.T) {
+	text := strings.Replace(validText, "  - name: s\n", "  - name: s\n    class: interactive\n    limits: {rate: 3, concurrency: 2}\n", 1)
 	e, err := evaluate.Text("f", []byte(text), 1)
 	if err != nil {
 		t.Fatal(err)
--- a/catalogue/evaluate/fuzz_test.go
+++ b/catalogue/evaluate/fuzz_test.go
@@ -8,9 +8,9 @@
 	"medlaryard.example/medlaryard/catalogue/evaluate"
 )
 
-// Guards against a text that makes the check panic, which would end every
-// daemon that reads it from the store, and against an accepted estate without
-// what the daemons rely on. The seeds run with the other tests.
+// Guards against a text that makes the check panic, which would end every daemon that
+// reads it from the store, and against an accepted estate that violates an assumption
+// of the daemons.
 func FuzzText(f *testing.F) {
 	for _, name := range []string{"small", "tamasha", "haneul"} {
 		text, err := os.ReadFile("../../examples/" + name + ".yaml")
@@ -19,7 +19,7 @@
 		}
 		f.Add(text)
 	}
-	f.Add([]byte(valid))
+	f.Add([]byte(validText))
 	f.Add([]byte("services: [{name: s, shards: {count: 3, replicas: [5, {addresses: [[]]}]}, moves: [7]}]"))
 	f.Add([]byte("services: [{name: s, shards: [{searchers: [{}]}, 4], moves: {}}]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -50,7 +50,8 @@
 	})
 }
 
-// checkEntry fails for an entry without a known owner, class or limits.
+// checkEntry reports an error for an entry without a name, a known owner, a valid class
+// or positive limits.
 func checkEntry(t *testing.T, e catalogue.Estate, entry catalogue.Entry) {
 	t.Helper()
 	_, known := e.Owner(entry.Owner())
--- a/catalogue/evaluate/moves.go
+++ b/catalogue/evaluate/moves.go
@@ -9,22 +9,22 @@
 )
 
 func (e *evaluator) moves(m *syntax.Mapping, service catalogue.ServiceSpec) []*catalogue.Move {
-	moveNames := newNames("move name", e.problems)
+	moveNames := newNameSet("move name", e.problems)
 	var moves []*catalogue.Move
 	for _, n := range m.List("moves") {
 		move := e.move(n, service, &moveNames)
 		for _, other := range moves {
 			if move.Start().Before(other.FinishBy()) && other.Start().Before(move.FinishBy()) {
-				e.problems.AddAt(n, fmt.Sprintf("a move outside the time of move %q", other.Name()), "an overlap")
+				e.problems.AddAt(n, fmt.Sprintf("a move whose time does not overlap that of move %q", other.Name()), "an overlap")
 			}
 		}
 		moves = append(moves, move)
 	}
-	e.versions(m, service, moves)
+	e.checkVersions(m, service, moves)
 	return moves
 }
 
-func (e *evaluator) move(n *syntax.Node, service catalogue.ServiceSpec, taken *names) *catalogue.Move {
+func (e *evaluator) move(n *syntax.Node, service catalogue.ServiceSpec, moveNames *nameSet) *catalogue.Move {
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
 	spec := catalogue.MoveSpec{
@@ -39,7 +39,7 @@
 		MaxLatencyRatio: syntax.Optional(m, "max_latency_ratio", latencyRatioType, DefaultMaxLatencyRatio),
 		MinEvidence:     syntax.Optional(m, "min_evidence", evidenceType, DefaultMinEvidence),
 	}
-	taken.declare(spec.Name, m.Get("name"))
+	moveNames.declare(spec.Name, m.Get("name"))
 	if spec.From != "" && spec.From == spec.To {
 		e.problems.AddAt(m.Get("to"), "a version other than from", fmt.Sprintf("%q", spec.To))
 	}
@@ -49,8 +49,8 @@
 	return catalogue.NewMove(spec)
 }
 
-// moveVersion reads a version that every shard must have a searcher of, since a
-// shard without one could not be served during the move.
+// moveVersion reads a version of a move. Every shard must have a searcher of that
+// version, because a shard without one could not be served during the move.
 func (e *evaluator) moveVersion(m *syntax.Mapping, key string, service catalogue.ServiceSpec) string {
 	version := syntax.Required(m, key, syntax.Name)
 	if version == "" {
@@ -74,18 +74,19 @@
 	return false
 }
 
-// versions refuses a second version without a move: nothing would limit its traffic.
-func (e *evaluator) versions(m *syntax.Mapping, service catalogue.ServiceSpec, moves []*catalogue.Move) {
+// checkVersions rejects a second version that no move connects with the first, because
+// nothing would limit its traffic.
+func (e *evaluator) checkVersions(m *syntax.Mapping, service catalogue.ServiceSpec, moves []*catalogue.Move) {
 	first := ""
 	for _, sh := range service.Shards {
 		for _, s := range sh.Searchers() {
-			if s.Version() == "" || s.Version() == faulty {
+			if s.Version() == "" || s.Version() == invalidValue {
 				continue
 			}
 			if first == "" {
 				first = s.Version()
 			}
-			if s.Version() == first || joined(moves, first, s.Version()) {
+			if s.Version() == first || connected(moves, first, s.Version()) {
 				continue
 			}
 			e.problems.AddAt(m.Node(), fmt.Sprintf("a move between versions %q and %q", first, s.Version()), fmt.Sprintf("searcher %s without one", s.Address()))
@@ -94,8 +95,9 @@
 	}
 }
 
-// joined reports whether moves connect versions a and b, directly or in a chain.
-func joined(moves []*catalogue.Move, a, b string) bool {
+// connected reports whether moves connect versions a and b, directly or through other
+// versions.
+func connected(moves []*catalogue.Move, a, b string) bool {
 	reached := map[string]bool{a: true}
 	for range moves {
 		for _, mv := range moves {
--- a/catalogue/evaluate/page_test.go
+++ b/catalogue/evaluate/page_test.go
@@ -10,12 +10,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const page = "../../docs/catalogue.md"
+const referencePage = "../../docs/catalogue.md"
 
-// Guards against examples in the reference page that are refused, and against
-// an error listing there that the check does not print.
-func TestExamplesOfPage(t *testing.T) {
-	text, err := os.ReadFile(page)
+// Guards against examples on the reference page that are rejected, and against error
+// listings on the page that differ from what the check prints.
+func TestReferencePageExamples(t *testing.T) {
+	text, err := os.ReadFile(referencePage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 	for i, b := range blocks {
 		_, err := Text("songs.yaml", []byte(b[2]), 1)
 		if b[1] == "" && err != nil {
-			t.Errorf("example %d is refused:\n%v", i+1, err)
+			t.Errorf("example %d is rejected:\n%v", i+1, err)
 		}
 		if b[1] != "" {
 			if d := cmp.Diff(b[3], fmt.Sprintln(err)); d != "" {
@@ -36,9 +36,10 @@
 	}
 }
 
-// Guards against defaults and ranges of the reference page that differ from the program.
-func TestTablesOfPage(t *testing.T) {
-	text, err := os.ReadFile(page)
+// Guards against defaults and ranges on the reference page that differ from those of
+// the program.
+func TestReferencePageTables(t *testing.T) {
+	text, err := os.ReadFile(referencePage)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/catalogue/evaluate/reference.go
+++ b/catalogue/evaluate/reference.go
@@ -6,23 +6,23 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// reference is a use of a name that may be declared later in the text.
+// reference is the use of a name whose declaration may follow later in the text.
 type reference struct {
-	node *syntax.Node
-	in   *names
-	name string
+	node     *syntax.Node
+	declared *nameSet
+	name     string
 }
 
-func (e *evaluator) refer(n *syntax.Node, in *names, name string) {
+func (e *evaluator) addReference(n *syntax.Node, declared *nameSet, name string) {
 	if name != "" {
-		e.refs = append(e.refs, reference{node: n, in: in, name: name})
+		e.references = append(e.references, reference{node: n, declared: declared, name: name})
 	}
 }
 
-func (e *evaluator) resolve() {
-	for _, r := range e.refs {
-		if !r.in.has(r.name) {
-			e.problems.AddAt(r.node, "the name of a declared "+r.in.kind, fmt.Sprintf("%q, which is not declared", r.name))
+func (e *evaluator) checkReferences() {
+	for _, r := range e.references {
+		if !r.declared.has(r.name) {
+			e.problems.AddAt(r.node, "the name of a declared "+r.declared.kind, fmt.Sprintf("%q, which is not declared", r.name))
 		}
 	}
 }
--- a/catalogue/evaluate/searcher.go
+++ b/catalogue/evaluate/searcher.go
@@ -8,8 +8,8 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// searcherValues are the keys of a searcher that a service, a shard or a
-// replica row can set for all searchers in it.
+// searcherValues are the values of a searcher that a service, a shard or a row of
+// replicas can set for all its searchers.
 type searcherValues struct {
 	Domain      string
 	Version     string
@@ -18,26 +18,27 @@
 	ColdLimit   int
 }
 
-// values reads searcher keys; what is left out comes from the enclosing entry.
-func (e *evaluator) values(m *syntax.Mapping, enclosing searcherValues) searcherValues {
+// searcherValues reads the keys of searcherValues. Absent keys default to the values of
+// the enclosing entry.
+func (e *evaluator) searcherValues(m *syntax.Mapping, enclosing searcherValues) searcherValues {
 	v := enclosing
 	if n := m.Get("domain"); n != nil {
-		v.Domain = faulty
+		v.Domain = invalidValue
 		if name, ok := syntax.Name.Value(n, e.problems); ok {
 			v.Domain = name
-			e.refer(n, &e.domains, name)
+			e.addReference(n, &e.domains, name)
 		}
 	}
-	v.Version = override(m, "version", syntax.Name, v.Version, faulty)
+	v.Version = override(m, "version", syntax.Name, v.Version, invalidValue)
 	v.Slots = override(m, "slots", slotsType, v.Slots, 1)
 	v.Connections = override(m, "connections", connectionsType, v.Connections, math.MaxInt32)
 	v.ColdLimit = override(m, "cold_limit", coldLimitType, v.ColdLimit, 1)
 	return v
 }
 
-// override reads the value under key, or returns the inherited one when the key
-// is absent and instead when its value is faulty.
-func override[T any](m *syntax.Mapping, key string, t syntax.Type[T], inherited, instead T) T {
+// override returns the value of key, the inherited value if the key is absent, or
+// substitute if the value is faulty.
+func override[T any](m *syntax.Mapping, key string, t syntax.Type[T], inherited, substitute T) T {
 	n := m.Get(key)
 	if n == nil {
 		return inherited
@@ -45,11 +46,12 @@
 	if v, ok := t.Value(n, m.Problems()); ok {
 		return v
 	}
-	return instead
+	return substitute
 }
 
-// complete records each value that no enclosing entry set, and values that do not fit together.
-func (e *evaluator) complete(m *syntax.Mapping, v searcherValues) {
+// checkSearcherValues records a Problem for each missing value and for values that
+// contradict each other.
+func (e *evaluator) checkSearcherValues(m *syntax.Mapping, v searcherValues) {
 	if v.Domain == "" {
 		m.Require("domain", "the name of a failure domain, here or in an enclosing entry")
 	}
@@ -65,7 +67,8 @@
 	if v.Slots == 0 || v.Connections == 0 {
 		return
 	}
-	// An established home leaves a fifth of the connections unused.
+	// An established home leaves a fifth of the connections unused, reserved for a new
+	// home.
 	if usable := v.Connections * 4 / 5; usable < v.Slots {
 		e.problems.AddAt(m.Node(), fmt.Sprintf("connections of which four fifths cover the %d slots", v.Slots), fmt.Sprintf("%d connections", v.Connections))
 	}
@@ -74,13 +77,13 @@
 	}
 }
 
-func (e *evaluator) searcher(n *syntax.Node, shard catalogue.EntrySpec, defaults searcherValues, taken *names) *catalogue.Searcher {
+func (e *evaluator) searcher(n *syntax.Node, shard catalogue.EntrySpec, defaults searcherValues, searcherNames *nameSet) *catalogue.Searcher {
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
 	entry := e.entry(m, shard)
-	taken.declare(entry.Name, m.Get("name"))
-	v := e.values(m, defaults)
-	e.complete(m, v)
+	searcherNames.declare(entry.Name, m.Get("name"))
+	v := e.searcherValues(m, defaults)
+	e.checkSearcherValues(m, v)
 	address := syntax.Required(m, "address", syntax.Address)
 	e.addresses.declare(address, m.Get("address"))
 	return newSearcher(entry, address, v)
--- a/catalogue/evaluate/service.go
+++ b/catalogue/evaluate/service.go
@@ -30,7 +30,7 @@
 	e.spec.Services = append(e.spec.Services, catalogue.NewService(spec))
 }
 
-// searcherDefaults reads what the searchers of a service have in common.
+// searcherDefaults reads the values that the searchers of a service inherit.
 func (e *evaluator) searcherDefaults(m *syntax.Mapping) searcherValues {
 	n := m.Get("searcher")
 	if n == nil {
@@ -38,7 +38,7 @@
 	}
 	d := syntax.ReadMapping(n, e.problems)
 	defer d.Close()
-	return e.values(d, searcherValues{ColdLimit: DefaultColdLimit})
+	return e.searcherValues(d, searcherValues{ColdLimit: DefaultColdLimit})
 }
 
 func (e *evaluator) shards(m *syntax.Mapping, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
@@ -48,27 +48,27 @@
 	}
 	switch n.Kind() {
 	case syntax.Map:
-		return e.compact(n, service, defaults)
+		return e.compactShards(n, service, defaults)
 	case syntax.Sequence:
-		return e.explicit(n, service, defaults)
+		return e.explicitShards(n, service, defaults)
 	default:
 		e.problems.AddAt(n, "a list of shards, or a mapping with count and replicas", n.Found())
 		return nil
 	}
 }
 
-// explicit reads shards that the text lists one by one.
-func (e *evaluator) explicit(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
-	shardNames := newNames("shard name", e.problems)
-	searcherNames := newNames("searcher name", e.problems)
+// explicitShards reads shards that are listed one by one.
+func (e *evaluator) explicitShards(n *syntax.Node, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
+	shardNames := newNameSet("shard name", e.problems)
+	searcherNames := newNameSet("searcher name", e.problems)
 	var shards []*catalogue.Shard
 	for _, item := range n.Items() {
 		m := syntax.ReadMapping(item, e.problems)
 		spec := catalogue.ShardSpec{EntrySpec: e.entry(m, service)}
 		shardNames.declare(spec.Name, m.Get("name"))
-		shard := e.values(m, defaults)
+		shardDefaults := e.searcherValues(m, defaults)
 		for _, s := range m.List("searchers") {
-			spec.Searchers = append(spec.Searchers, e.searcher(s, spec.EntrySpec, shard, &searcherNames))
+			spec.Searchers = append(spec.Searchers, e.searcher(s, spec.EntrySpec, shardDefaults, &searcherNames))
 		}
 		if len(spec.Searchers) == 0 {
 			m.Require("searchers", "a list of at least one searcher")
--- a/catalogue/evaluate/text.go
+++ b/catalogue/evaluate/text.go
@@ -6,14 +6,14 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Text checks one text, whose YAML documents together declare the estate, and
-// returns the estate at the given generation. Name stands in positions. The
-// error is a *syntax.Problems.
+// Text checks one text and returns the estate that its YAML documents together
+// declare, at the given generation. The parameter name is the file name in
+// positions. The error is a *syntax.Problems.
 func Text(name string, text []byte, generation uint64) (catalogue.Estate, error) {
 	return Sources([]load.Source{load.Text(name, text)}, generation)
 }
 
-// Sources is Text for an estate that is declared by several files.
+// Sources is like Text for an estate that several files declare together.
 func Sources(sources []load.Source, generation uint64) (catalogue.Estate, error) {
 	ps := &syntax.Problems{}
 	var docs []*syntax.Node
@@ -24,7 +24,8 @@
 		readable = readable && (err == nil || parsed != nil)
 		docs = append(docs, parsed...)
 	}
-	// References cannot be judged while a part of the text is unreadable.
+	// References cannot be checked if a part of the text is unreadable, since that
+	// part may contain their declarations.
 	if !readable {
 		return catalogue.Estate{}, ps.Err()
 	}
--- a/catalogue/load/doc.go
+++ b/catalogue/load/doc.go
@@ -1,3 +1,3 @@
-// Package load reads catalogue texts from files, and joins several files into
-// the one text that the store holds.
+// Package load reads catalogue files and joins them into the single text that
+// is kept in the store.
 package load
--- a/catalogue/load/files.go
+++ b/catalogue/load/files.go
@@ -9,15 +9,15 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Stdin is the path that stands for the standard input.
+// Stdin is the path that selects standard input.
 const Stdin = "-"
 
-// Files reads each path; Stdin reads stdin. A file longer than
-// syntax.MaxText is refused without being read whole.
+// Files reads each path; the path Stdin reads from stdin. For a file longer than
+// syntax.MaxTextBytes it returns an error without reading the rest of the file.
 func Files(paths []string, stdin io.Reader) ([]Source, error) {
 	var sources []Source
 	for _, path := range paths {
-		s, err := file(path, stdin)
+		s, err := readFile(path, stdin)
 		if err != nil {
 			return nil, err
 		}
@@ -26,25 +26,25 @@
 	return sources, nil
 }
 
-func file(path string, stdin io.Reader) (Source, error) {
+func readFile(path string, stdin io.Reader) (Source, error) {
 	if path == Stdin {
-		return read("stdin", stdin)
+		return readSource("stdin", stdin)
 	}
 	f, err := os.Open(path)
 	if err != nil {
 		return Source{}, eris.Wrap(err, "read catalogue")
 	}
 	defer func() { _ = f.Close() }()
-	return read(path, f)
+	return readSource(path, f)
 }
 
-func read(name string, r io.Reader) (Source, error) {
-	text, err := io.ReadAll(io.LimitReader(r, syntax.MaxText+1))
+func readSource(name string, r io.Reader) (Source, error) {
+	text, err := io.ReadAll(io.LimitReader(r, syntax.MaxTextBytes+1))
 	if err != nil {
 		return Source{}, eris.Wrapf(err, "read catalogue %s", name)
 	}
-	if len(text) > syntax.MaxText {
-		return Source{}, eris.Errorf("%s is longer than %d bytes, the most that fits in the store's object", name, syntax.MaxText)
+	if len(text) > syntax.MaxTextBytes {
+		return Source{}, eris.Errorf("catalogue %s is longer than %d bytes, the maximum that fits in the store's object", name, syntax.MaxTextBytes)
 	}
 	return Source{name: name, text: text}, nil
 }
--- a/catalogue/load/source.go
+++ b/catalogue/load/source.go
@@ -4,23 +4,22 @@
 	"bytes"
 )
 
-// Source is one catalogue text with the name that stands in positions.
+// Source is one catalogue text with the file name that positions refer to.
 type Source struct {
 	name string
 	text []byte
 }
 
-// Text returns the Source of a text that is already in memory, for example
-// from the store.
+// Text returns a Source for a text in memory, for example one read from the store.
 func Text(name string, text []byte) Source { return Source{name: name, text: text} }
 
-// Name stands in positions.
+// Name is the file name that positions refer to.
 func (s Source) Name() string { return s.name }
 
-// Text returns the bytes, which must not be changed.
+// Text returns the bytes of the text. The caller must not modify them.
 func (s Source) Text() []byte { return s.text }
 
-// Join returns one text with each source as a YAML document. A single source
+// Join returns one text in which each source is a YAML document. A single source
 // is returned unchanged.
 func Join(sources []Source) []byte {
 	if len(sources) == 1 {
--- a/catalogue/owner.go
+++ b/catalogue/owner.go
@@ -3,7 +3,7 @@
 // OwnerSpec holds the values that NewOwner takes.
 type OwnerSpec struct {
 	EntrySpec
-	// ClassLimits gives the limits of each class that the owner may use; a class that is absent is refused.
+	// ClassLimits are the limits of each class that the owner may use; requests of an absent class are refused.
 	ClassLimits map[Class]Limits
 }
 
@@ -18,5 +18,5 @@
 	return &Owner{Entry: NewEntry(spec.EntrySpec), spec: spec}
 }
 
-// ClassLimits gives the limits of each class that the owner may use; a class that is absent is refused.
+// ClassLimits are the limits of each class that the owner may use; requests of an absent class are refused.
 func (o *Owner) ClassLimits() map[Class]Limits { return o.spec.ClassLimits }
--- a/catalogue/policy.go
+++ b/catalogue/policy.go
@@ -5,9 +5,10 @@
 
 // The load policies that a service can select.
 const (
-	// Baseline sends to the shortest queue in turn, without hedges.
+	// Baseline sends to the searcher with the shortest queue, without hedges.
 	Baseline Policy = "baseline"
-	// Current sends by expected completion and hedges within a budget.
+	// Current sends to the searcher with the shortest expected completion time and
+	// hedges within a budget.
 	Current Policy = "current"
 )
 
--- a/catalogue/publish/current.go
+++ b/catalogue/publish/current.go
@@ -19,17 +19,17 @@
 type CurrentSpec struct {
 	// Generation grows by one with every accepted change; the first is 1.
 	Generation uint64
-	// Token is unique to the change that wrote the object.
+	// Token identifies the change that wrote the object.
 	Token string
 	// Text is the catalogue as its author wrote it.
 	Text string
-	// Author names who applied it.
+	// Author names the operator who applied the catalogue.
 	Author string
 	// Applied is the wall time of the change, to the millisecond.
 	Applied time.Time
 }
 
-// Current is the content of the catalogue object. The zero value stands for an
+// Current is the content of the catalogue object. The zero value represents an
 // object that does not exist yet.
 type Current struct {
 	spec CurrentSpec
@@ -41,25 +41,26 @@
 // Generation grows by one with every accepted change; 0 means that none was applied yet.
 func (c Current) Generation() uint64 { return c.spec.Generation }
 
-// Token is unique to the change that wrote the object.
+// Token identifies the change that wrote the object.
 func (c Current) Token() string { return c.spec.Token }
 
 // Text is the catalogue as its author wrote it.
 func (c Current) Text() string { return c.spec.Text }
 
-// Author names who applied it.
+// Author names the operator who applied the catalogue.
 func (c Current) Author() string { return c.spec.Author }
 
-// Applied is the wall time of the change.
+// Applied is the wall time of the change, to the millisecond.
 func (c Current) Applied() time.Time { return c.spec.Applied }
 
-// Estate checks the text and returns the estate that it declares.
+// Estate checks the text and returns the estate that it declares. The error is a
+// *syntax.Problems.
 func (c Current) Estate() (catalogue.Estate, error) {
 	return evaluate.Text(Key, []byte(c.spec.Text), c.spec.Generation)
 }
 
-// object is the stored form.
-type object struct {
+// storedObject is the JSON form of Current in the store.
+type storedObject struct {
 	Generation    uint64 `json:"generation"`
 	Token         string `json:"token"`
 	Text          string `json:"text"`
@@ -67,13 +68,13 @@
 	AppliedUnixMS int64  `json:"applied_unix_ms"`
 }
 
-// Encode returns the stored form of c.
+// Encode returns the JSON form of c.
 func (c Current) Encode() ([]byte, error) {
 	var out bytes.Buffer
 	enc := json.NewEncoder(&out)
-	// Escaping <, > and & would lengthen the text for no reader's benefit.
+	// No reader needs <, > and & escaped, and escaping would lengthen the text.
 	enc.SetEscapeHTML(false)
-	err := enc.Encode(object{
+	err := enc.Encode(storedObject{
 		Generation:    c.spec.Generation,
 		Token:         c.spec.Token,
 		Text:          c.spec.Text,
@@ -83,9 +84,10 @@
 	return bytes.TrimSpace(out.Bytes()), eris.Wrap(err, "encode catalogue object")
 }
 
-// Decode reads the stored form.
+// Decode parses the JSON form that Encode returns. The generation must be at least 1
+// and the token must not be empty.
 func Decode(value []byte) (Current, error) {
-	var o object
+	var o storedObject
 	if err := json.Unmarshal(value, &o); err != nil {
 		return Current{}, eris.Wrapf(err, "decode object %s", Key)
 	}
@@ -101,5 +103,5 @@
 	}), nil
 }
 
-// FromObject is Decode for an object of the store.
+// FromObject decodes the value of a store object.
 func FromObject(o store.Object) (Current, error) { return Decode(o.Value()) }
--- a/catalogue/publish/doc.go
+++ b/catalogue/publish/doc.go
@@ -1,6 +1,6 @@
-// Package publish reads and changes the object catalogue/current, the one
-// place where the catalogue in force is stored. Every change is a conditional
-// update with generation = previous + 1 and a unique token, so that concurrent
-// operators cannot overwrite each other and a lost reply is resolved by
-// reading the object back.
+// Package publish reads and updates the store object catalogue/current, which
+// holds the catalogue in force. Every change is a conditional update with
+// generation = previous + 1 and a unique token. Concurrent operators therefore
+// cannot overwrite each other's changes, and the outcome of an update whose
+// reply was lost is found by reading the object back.
 package publish
--- a/catalogue/publish/publisher.go
+++ b/catalogue/publish/publisher.go
@@ -17,35 +17,36 @@
 )
 
 const (
-	// maxValue is the largest object that the store accepts, in bytes.
-	maxValue = 1_000_000
-	// maxAuthor is the longest author in bytes; daemons refuse objects with a longer one.
-	maxAuthor = 256
+	// maxObjectBytes is the size of the largest object that the store accepts.
+	maxObjectBytes = 1_000_000
+	// maxAuthorBytes bounds the author; daemons reject objects with a longer one.
+	maxAuthorBytes = 256
 )
 
-// Publisher reads and changes the catalogue object.
+// Publisher reads and updates the catalogue object.
 type Publisher struct {
-	store store.Store
-	clock clock.Clock
-	token func() string
-	pause time.Duration
+	store          store.Store
+	clock          clock.Clock
+	token          func() string
+	initialBackoff time.Duration
 }
 
-// Option changes a Publisher under construction.
+// Option configures a Publisher.
 type Option func(*Publisher)
 
 // WithClock sets the clock; the default is clock.System.
 func WithClock(c clock.Clock) Option { return func(p *Publisher) { p.clock = c } }
 
-// WithToken sets the source of unique tokens; the default is random.
+// WithToken sets the function that returns unique tokens; the default is rand.Text.
 func WithToken(f func() string) Option { return func(p *Publisher) { p.token = f } }
 
-// WithPause sets the wait after the first failure of the store.
-func WithPause(d time.Duration) Option { return func(p *Publisher) { p.pause = d } }
+// WithInitialBackoff sets the delay after the first failed call of the store; the
+// default is 200 ms.
+func WithInitialBackoff(d time.Duration) Option { return func(p *Publisher) { p.initialBackoff = d } }
 
-// New returns a Publisher that uses s.
+// New returns a Publisher for the catalogue object in s.
 func New(s store.Store, opts ...Option) *Publisher {
-	p := &Publisher{store: s, clock: clock.System{}, token: rand.Text, pause: firstPause}
+	p := &Publisher{store: s, clock: clock.System{}, token: rand.Text, initialBackoff: defaultInitialBackoff}
 	for _, opt := range opts {
 		opt(p)
 	}
@@ -71,29 +72,31 @@
 	return c, o.Version(), err
 }
 
-// Apply checks text and puts it in force as the successor of generation based.
-// It returns the catalogue that is then in force. A text that equals the one in
-// force is not written again. Errors are *syntax.Problems for a faulty text,
-// *Race, *Unknown, or an error of the store before anything was written.
-func (p *Publisher) Apply(ctx context.Context, text []byte, author string, based uint64) (Current, error) {
-	if _, err := evaluate.Text("catalogue", text, based+1); err != nil {
+// Apply checks text and writes it as the successor of generation baseGeneration.
+// It returns the catalogue that is then in force. If text equals the text in
+// force, Apply writes nothing. The error is a *syntax.Problems for a faulty text,
+// a *Race if another change is in force than the one at baseGeneration, or an
+// *Unknown if the outcome of the write is unknown. With any other error, nothing
+// was written.
+func (p *Publisher) Apply(ctx context.Context, text []byte, author string, baseGeneration uint64) (Current, error) {
+	if _, err := evaluate.Text("catalogue", text, baseGeneration+1); err != nil {
 		return Current{}, err
 	}
-	if len(author) > maxAuthor || !utf8.ValidString(author) || strings.ContainsFunc(author, unicode.IsControl) {
-		return Current{}, eris.Errorf("author %.40q: expected at most %d bytes of UTF-8 without control characters", author, maxAuthor)
+	if len(author) > maxAuthorBytes || !utf8.ValidString(author) || strings.ContainsFunc(author, unicode.IsControl) {
+		return Current{}, eris.Errorf("author %.40q: expected at most %d bytes of UTF-8 without control characters", author, maxAuthorBytes)
 	}
-	now, version, err := p.read(ctx)
+	current, version, err := p.read(ctx)
 	if err != nil {
 		return Current{}, err
 	}
-	if now.Generation() != based {
-		return now, &Race{based: based, now: now}
+	if current.Generation() != baseGeneration {
+		return current, &Race{baseGeneration: baseGeneration, current: current}
 	}
-	if based > 0 && now.Text() == string(text) {
-		return now, nil
+	if baseGeneration > 0 && current.Text() == string(text) {
+		return current, nil
 	}
 	next := NewCurrent(CurrentSpec{
-		Generation: based + 1,
+		Generation: baseGeneration + 1,
 		Token:      p.token(),
 		Text:       string(text),
 		Author:     author,
@@ -103,24 +106,25 @@
 	if err != nil {
 		return Current{}, err
 	}
-	if len(value) > maxValue {
-		return Current{}, eris.Errorf("the object %s would have %d bytes, the store accepts %d", Key, len(value), maxValue)
+	if len(value) > maxObjectBytes {
+		return Current{}, eris.Errorf("object %s would have %d bytes; the store accepts at most %d", Key, len(value), maxObjectBytes)
 	}
 	return p.write(ctx, next, value, version)
 }
 
-// write repeats the same conditional update until its fate is known. Repeating
-// is safe: the update applies to one version of the object only, so it takes
-// effect at most once, and the token tells whose update that was.
+// write repeats the same conditional update until its outcome is known or the
+// retries are used up. Repeating is safe: the update applies to one version of the
+// object only, so it takes effect at most once, and the token in the object shows
+// whether it did.
 func (p *Publisher) write(ctx context.Context, next Current, value []byte, version uint64) (Current, error) {
-	r := &retry{clock: p.clock, pause: p.pause, unknown: Unknown{generation: next.Generation(), token: next.Token()}}
-	for lost := false; ; lost = true {
+	r := &retry{clock: p.clock, backoff: p.initialBackoff, unknown: Unknown{generation: next.Generation(), token: next.Token()}}
+	for replyLost := false; ; replyLost = true {
 		_, err := p.store.Put(ctx, Key, value, version)
 		if err == nil {
 			return next, nil
 		}
 		if errors.Is(err, store.ErrConflict) {
-			return p.resolve(ctx, next, lost, r)
+			return p.resolve(ctx, next, replyLost, r)
 		}
 		if err := r.wait(ctx, err); err != nil {
 			return Current{}, err
@@ -128,24 +132,25 @@
 	}
 }
 
-// resolve reads the object back after a conflict. When the reply to an earlier
-// attempt was lost, that attempt may be what the store conflicts with.
-func (p *Publisher) resolve(ctx context.Context, next Current, lost bool, r *retry) (Current, error) {
+// resolve determines the outcome after a conflict by reading the object back. If
+// the reply to an earlier attempt was lost, the conflict may be with that attempt.
+func (p *Publisher) resolve(ctx context.Context, next Current, replyLost bool, r *retry) (Current, error) {
 	for {
-		now, _, err := p.read(ctx)
+		current, _, err := p.read(ctx)
 		switch {
 		case err != nil:
 			if err := r.wait(ctx, err); err != nil {
 				return Current{}, err
 			}
-		case now.Token() == next.Token():
-			return now, nil
-		case !lost || now.Generation() <= next.Generation():
-			return now, &Race{based: next.Generation() - 1, now: now}
+		case current.Token() == next.Token():
+			return current, nil
+		case !replyLost || current.Generation() <= next.Generation():
+			return current, &Race{baseGeneration: next.Generation() - 1, current: current}
 		default:
-			// Later generations hide whether ours or another was their base.
-			cause := eris.Errorf("generation %d by %q is in force by now", now.Generation(), now.Author())
-			return now, r.giveUp(cause)
+			// Only the latest generation can be read, so it is unknown whether next was
+			// among the earlier ones.
+			cause := eris.Errorf("generation %d by %q is already in force", current.Generation(), current.Author())
+			return current, r.outcomeUnknown(cause)
 		}
 	}
 }
--- a/catalogue/publish/publisher_test.go
+++ b/catalogue/publish/publisher_test.go
@@ -15,16 +15,16 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// fakeStore keeps one object and fails calls on request.
+// fakeStore holds one object and fails the calls that fail selects.
 type fakeStore struct {
 	store.Store
 	mu      sync.Mutex
 	version uint64
 	value   []byte
 	tokens  []string
-	// fail decides on each call: "" serves it, "before" fails it without
-	// effect, "after" fails it after its effect, "other" serves a write after
-	// another operator's.
+	// fail returns the outcome of a call: "" succeeds, "before" fails without
+	// effect, "after" fails after taking effect, and "other" writes another
+	// operator's change first.
 	fail func(call string) string
 }
 
@@ -43,15 +43,15 @@
 func (s *fakeStore) Put(_ context.Context, _ string, value []byte, expected uint64) (store.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fate := s.fail("put")
-	switch fate {
+	outcome := s.fail("put")
+	switch outcome {
 	case "before":
 		return store.Object{}, store.ErrUnavailable
 	case "other":
 		s.writeOther()
 	}
 	if expected != s.version {
-		if fate == "after" {
+		if outcome == "after" {
 			return store.Object{}, store.ErrUnavailable
 		}
 		return store.Object{}, store.ErrConflict
@@ -61,7 +61,7 @@
 		return store.Object{}, err
 	}
 	s.version, s.value, s.tokens = s.version+1, value, append(s.tokens, c.Token())
-	if fate == "after" {
+	if outcome == "after" {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return store.NewObject(publish.Key, s.version, value), nil
@@ -75,15 +75,15 @@
 	s.tokens = append(s.tokens, token)
 }
 
-// Guards against a lost reply that is reported as a failure or applied twice,
-// against a race that overwrites another change, and against a success or race
-// report that contradicts the store.
-func TestApplyReportsWhatHappened(t *testing.T) {
+// Guards against a result of Apply that contradicts the store, a change that is
+// written twice after a lost reply, and a change that overwrites a concurrent one.
+// The store fails calls at random before or after they take effect.
+func TestApplyOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fate := rapid.SampledFrom([]string{"", "", "", "before", "after", "other"})
+		outcomes := rapid.SampledFrom([]string{"", "", "", "before", "after", "other"})
 		s := &fakeStore{}
 		s.fail = func(call string) string {
-			f := fate.Draw(t, call)
+			f := outcomes.Draw(t, call)
 			if call == "get" && f == "other" {
 				return ""
 			}
@@ -91,10 +91,10 @@
 		}
 		for i := range rapid.IntRange(1, 8).Draw(t, "changes") {
 			token := fmt.Sprintf("token-%d.", i)
-			p := publish.New(s, publish.WithClock(clocktest.New()), publish.WithPause(0),
+			p := publish.New(s, publish.WithClock(clocktest.New()), publish.WithInitialBackoff(0),
 				publish.WithToken(func() string { return token }))
 			based := uint64(rapid.IntRange(0, len(s.tokens)).Draw(t, "based"))
-			got, err := p.Apply(context.Background(), text(i), "operator", based)
+			got, err := p.Apply(context.Background(), catalogueText(i), "operator", based)
 			written := strings.Count(strings.Join(s.tokens, " "), token)
 			var race *publish.Race
 			var unknown *publish.Unknown
@@ -104,8 +104,8 @@
 					t.Fatalf("success with %d writes, generation %d after %d", written, got.Generation(), based)
 				}
 			case errors.As(err, &race):
-				if written != 0 || race.Now().Generation() == based {
-					t.Fatalf("race with %d writes, generation %d in force, based on %d", written, race.Now().Generation(), based)
+				if written != 0 || race.Current().Generation() == based {
+					t.Fatalf("race with %d writes, generation %d in force, based on %d", written, race.Current().Generation(), based)
 				}
 			case errors.As(err, &unknown):
 				if unknown.Token() != token || written > 1 {
@@ -125,12 +125,12 @@
 	})
 }
 
-// Guards against an operator's change that overwrites one that came between
-// reading and writing, and against a report that does not name the other operator.
-func TestApplyLosesRaceToConcurrentChange(t *testing.T) {
+// Guards against overwriting a change that another operator made between the read
+// and the write of Apply, and against an error that does not name that operator.
+func TestApplyConcurrentChange(t *testing.T) {
 	s := &fakeStore{fail: func(string) string { return "" }}
 	p := publish.New(s, publish.WithClock(clocktest.New()))
-	if _, err := p.Apply(context.Background(), text(1), "Baraka", 0); err != nil {
+	if _, err := p.Apply(context.Background(), catalogueText(1), "Baraka", 0); err != nil {
 		t.Fatal(err)
 	}
 	s.fail = func(call string) string {
@@ -139,32 +139,33 @@
 		}
 		return ""
 	}
-	now, err := p.Apply(context.Background(), text(2), "Baraka", 1)
+	now, err := p.Apply(context.Background(), catalogueText(2), "Baraka", 1)
 	var race *publish.Race
 	if !errors.As(err, &race) || now.Generation() != 2 || !strings.Contains(err.Error(), `"other" has applied generation 2`) {
 		t.Fatalf("got generation %d, error %v", now.Generation(), err)
 	}
 }
 
-// Guards against a faulty catalogue or a needless generation reaching the store.
-func TestApplyWritesOnlyValidChanges(t *testing.T) {
+// Guards against writing a faulty catalogue, an overlong author, or a generation
+// whose text equals the one in force.
+func TestApplyInvalidOrUnchanged(t *testing.T) {
 	s := &fakeStore{fail: func(string) string { return "" }}
 	p := publish.New(s, publish.WithClock(clocktest.New()))
 	if _, err := p.Apply(context.Background(), []byte("owner: 5"), "operator", 0); err == nil || s.version != 0 {
 		t.Fatalf("faulty text: error %v, version %d", err, s.version)
 	}
-	if _, err := p.Apply(context.Background(), text(1), strings.Repeat("x", 257), 0); err == nil || s.version != 0 {
+	if _, err := p.Apply(context.Background(), catalogueText(1), strings.Repeat("x", 257), 0); err == nil || s.version != 0 {
 		t.Fatalf("long author: error %v, version %d", err, s.version)
 	}
 	for range 2 {
-		c, err := p.Apply(context.Background(), text(1), "operator", s.version)
+		c, err := p.Apply(context.Background(), catalogueText(1), "operator", s.version)
 		if err != nil || c.Generation() != 1 || s.version != 1 {
 			t.Fatalf("error %v, generation %d, version %d", err, c.Generation(), s.version)
 		}
 	}
 }
 
-func text(i int) []byte {
+func catalogueText(i int) []byte {
 	return fmt.Appendf(nil, `
 owner: o
 class: batch
--- a/catalogue/publish/race.go
+++ b/catalogue/publish/race.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Race means that another change is in force than the one that this change
-// was based on. This change did not take effect.
+// Race is the error for a change whose base generation is not in force. The
+// change did not take effect.
 type Race struct {
-	based uint64
-	now   Current
+	baseGeneration uint64
+	current        Current
 }
 
-// Based is the generation that the change was based on.
-func (r *Race) Based() uint64 { return r.based }
+// BaseGeneration returns the generation that the change was based on.
+func (r *Race) BaseGeneration() uint64 { return r.baseGeneration }
 
-// Now is the catalogue in force.
-func (r *Race) Now() Current { return r.now }
+// Current returns the catalogue in force.
+func (r *Race) Current() Current { return r.current }
 
-// Error names the change that came first.
+// Error describes the catalogue in force, with its author, generation and time.
 func (r *Race) Error() string {
-	if r.now.Generation() == 0 {
-		return fmt.Sprintf("nothing was changed: the change is based on generation %d, but no catalogue is in force", r.based)
+	if r.current.Generation() == 0 {
+		return fmt.Sprintf("nothing was changed: the change is based on generation %d, but no catalogue is in force", r.baseGeneration)
 	}
 	return fmt.Sprintf("nothing was changed: the change is based on generation %d, but %q has applied generation %d at %s",
-		r.based, r.now.Author(), r.now.Generation(), r.now.Applied().Format(time.RFC3339))
+		r.baseGeneration, r.current.Author(), r.current.Generation(), r.current.Applied().Format(time.RFC3339))
 }
--- a/catalogue/publish/retry.go
+++ b/catalogue/publish/retry.go
@@ -8,32 +8,35 @@
 )
 
 const (
-	// maxFailures bounds the failed calls of one change while the store is
-	// unavailable; with the pauses below it gives up after about 6 s.
+	// maxFailures bounds the failed store calls of one change. With the backoff
+	// below, a change gives up after about 6 s.
 	maxFailures = 6
-	// firstPause is the wait after the first failure; it doubles with each further one.
-	firstPause = 200 * time.Millisecond
+	// defaultInitialBackoff is the delay after the first failed call; it doubles with
+	// each further one.
+	defaultInitialBackoff = 200 * time.Millisecond
 )
 
-// retry paces the calls of one change and gives up with its Unknown.
+// retry delays the store calls of one change after failures. When it gives up, it
+// returns a copy of unknown.
 type retry struct {
 	clock    clock.Clock
-	pause    time.Duration
+	backoff  time.Duration
 	failures int
 	unknown  Unknown
 }
 
-// wait pauses after the failure cause, or returns the error to give up with.
+// wait delays the next call after the failure cause. It returns an *Unknown if there
+// were too many failures or ctx has ended.
 func (r *retry) wait(ctx context.Context, cause error) error {
 	r.failures++
-	if r.failures >= maxFailures || clock.Sleep(ctx, r.clock, r.pause) != nil {
-		return r.giveUp(cause)
+	if r.failures >= maxFailures || clock.Sleep(ctx, r.clock, r.backoff) != nil {
+		return r.outcomeUnknown(cause)
 	}
-	r.pause *= 2
+	r.backoff *= 2
 	return nil
 }
 
-func (r *retry) giveUp(cause error) error {
+func (r *retry) outcomeUnknown(cause error) error {
 	u := r.unknown
 	u.cause = cause
 	return &u
--- a/catalogue/searcher.go
+++ b/catalogue/searcher.go
@@ -9,11 +9,11 @@
 	Domain string
 	// Version is the back-end version that the searcher runs.
 	Version string
-	// Slots is the number of requests that the searcher runs at once.
+	// Slots is the number of requests that the searcher runs concurrently.
 	Slots int
-	// Connections is the number of connections that the searcher accepts over all daemons.
+	// Connections is the number of connections that the searcher accepts from all daemons together.
 	Connections int
-	// ColdLimit is the number of requests in flight that the searcher bears during a cold start.
+	// ColdLimit is the maximum number of requests in flight during a cold start of the searcher.
 	ColdLimit int
 }
 
@@ -37,11 +37,11 @@
 // Version is the back-end version that the searcher runs.
 func (s *Searcher) Version() string { return s.spec.Version }
 
-// Slots is the number of requests that the searcher runs at once.
+// Slots is the number of requests that the searcher runs concurrently.
 func (s *Searcher) Slots() int { return s.spec.Slots }
 
-// Connections is the number of connections that the searcher accepts over all daemons.
+// Connections is the number of connections that the searcher accepts from all daemons together.
 func (s *Searcher) Connections() int { return s.spec.Connections }
 
-// ColdLimit is the number of requests in flight that the searcher bears during a cold start.
+// ColdLimit is the maximum number of requests in flight during a cold start of the searcher.
 func (s *Searcher) ColdLimit() int { return s.spec.ColdLimit }
--- a/catalogue/service.go
+++ b/catalogue/service.go
@@ -12,15 +12,16 @@
 	Shards []*Shard
 	// Policy selects the load policy.
 	Policy Policy
-	// GroupSize is the highest number of searchers in one replica group.
+	// GroupSize is the maximum number of searchers in one replica group.
 	GroupSize int
-	// MaxDeadline is the longest deadline that a caller may ask for.
+	// MaxDeadline is the longest deadline that a caller may request.
 	MaxDeadline time.Duration
-	// HedgeQuantile is the latency quantile after which a second request is sent.
+	// HedgeQuantile is the quantile of the service's latency after which a hedge is sent.
 	HedgeQuantile float64
-	// ExtraBudget is the highest share of hedges and retries among sub-requests.
+	// ExtraBudget is the maximum fraction of sub-requests that are hedges or retries.
 	ExtraBudget float64
-	// PatienceFactor times the hedge latency is the time after which a silent connection is tested.
+	// PatienceFactor is multiplied by the hedge latency to give the time after which a
+	// silent connection is probed.
 	PatienceFactor float64
 	// NonIdempotent permits non-idempotent requests to the service.
 	NonIdempotent bool
@@ -28,7 +29,7 @@
 	Moves []*Move
 }
 
-// Service is a searchable index or record service made of shards.
+// Service is a search index or record service that is divided into shards.
 type Service struct {
 	Entry
 	spec ServiceSpec
@@ -45,19 +46,20 @@
 // Policy selects the load policy.
 func (s *Service) Policy() Policy { return s.spec.Policy }
 
-// GroupSize is the highest number of searchers in one replica group.
+// GroupSize is the maximum number of searchers in one replica group.
 func (s *Service) GroupSize() int { return s.spec.GroupSize }
 
-// MaxDeadline is the longest deadline that a caller may ask for.
+// MaxDeadline is the longest deadline that a caller may request.
 func (s *Service) MaxDeadline() time.Duration { return s.spec.MaxDeadline }
 
-// HedgeQuantile is the latency quantile after which a second request is sent.
+// HedgeQuantile is the quantile of the service's latency after which a hedge is sent.
 func (s *Service) HedgeQuantile() float64 { return s.spec.HedgeQuantile }
 
-// ExtraBudget is the highest share of hedges and retries among sub-requests.
+// ExtraBudget is the maximum fraction of sub-requests that are hedges or retries.
 func (s *Service) ExtraBudget() float64 { return s.spec.ExtraBudget }
 
-// PatienceFactor times the hedge latency is the time after which a silent connection is tested.
+// PatienceFactor is multiplied by the hedge latency to give the time after which a
+// silent connection is probed.
 func (s *Service) PatienceFactor() float64 { return s.spec.PatienceFactor }
 
 // NonIdempotent permits non-idempotent requests to the service.
--- a/catalogue/shard.go
+++ b/catalogue/shard.go
@@ -7,7 +7,7 @@
 	Searchers []*Searcher
 }
 
-// Shard is one part of the index of a service, held by several searchers.
+// Shard is one part of a service's index, replicated on several searchers.
 type Shard struct {
 	Entry
 	spec ShardSpec
--- a/catalogue/syntax/convert.go
+++ b/catalogue/syntax/convert.go
@@ -6,13 +6,13 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// converter turns the parser's tree into Nodes.
+// converter converts the parser's syntax tree to Nodes.
 type converter struct {
 	file     string
 	problems *Problems
 }
 
-// node converts one value; fallback is the position of a value without a token.
+// node converts one value. A value without a token gets the position fallback.
 func (c converter) node(n ast.Node, path string, fallback Position) *Node {
 	out := &Node{path: path, position: c.position(n, fallback)}
 	switch v := n.(type) {
@@ -61,7 +61,7 @@
 		}
 		path := childPath(out.path, key)
 		if first, dup := seen[key]; dup {
-			c.problems.Add(NewProblem(at, path, "each key once", fmt.Sprintf("a repetition of the key at line %d, column %d", first.line, first.column)))
+			c.problems.Add(NewProblem(at, path, "each key once", fmt.Sprintf("a duplicate of the key at line %d, column %d", first.line, first.column)))
 			continue
 		}
 		seen[key] = at
--- a/catalogue/syntax/doc.go
+++ b/catalogue/syntax/doc.go
@@ -1,7 +1,8 @@
-// Package syntax parses strict YAML into a tree that keeps the position and
-// path of every value, and reads typed fields from it. Every fault is
-// collected as a Problem with position, path, and what was expected.
+// Package syntax parses a strict subset of YAML into a tree that keeps the
+// position and path of every value, and reads typed fields from the tree. Every
+// fault is recorded as a Problem with its position, its path, what was expected and
+// what was found.
 //
-// Anchors, aliases, tags, merge keys and directives are refused: they make
-// positions ambiguous and let a short text expand without bound.
+// Anchors, aliases, tags, explicit keys, merge keys and directives are rejected. They
+// make positions ambiguous and let a short text expand without bound.
 package syntax
--- a/catalogue/syntax/entry.go
+++ b/catalogue/syntax/entry.go
@@ -7,11 +7,11 @@
 	value    *Node
 }
 
-// Key is the key's text.
+// Key is the text of the key.
 func (e Entry) Key() string { return e.key }
 
-// Position is where the key stands.
+// Position is the position of the key.
 func (e Entry) Position() Position { return e.position }
 
-// Value is the value under the key.
+// Value is the value of the key.
 func (e Entry) Value() *Node { return e.value }
--- a/catalogue/syntax/field.go
+++ b/catalogue/syntax/field.go
@@ -1,20 +1,21 @@
 package syntax
 
-// Type is how a scalar is read: what is expected, and the conversion.
+// Type describes the accepted values of a scalar and converts it to a T.
 type Type[T any] struct {
 	expected string
 	parse    func(*Node) (T, bool)
 }
 
-// NewType returns a Type; parse reports whether the node is acceptable.
+// NewType returns a Type. The function parse converts a node and reports whether it
+// is accepted.
 func NewType[T any](expected string, parse func(*Node) (T, bool)) Type[T] {
 	return Type[T]{expected: expected, parse: parse}
 }
 
-// Expected describes the accepted values, for messages and reference pages.
+// Expected describes the accepted values for messages and reference pages.
 func (t Type[T]) Expected() string { return t.expected }
 
-// Value reads n and records a Problem when it is not acceptable.
+// Value converts n. If n is not accepted, it records a Problem and returns false.
 func (t Type[T]) Value(n *Node, ps *Problems) (T, bool) {
 	v, ok := t.parse(n)
 	if !ok {
@@ -23,8 +24,8 @@
 	return v, ok
 }
 
-// Optional reads the value under key, or returns fallback when the key is
-// absent or its value is faulty.
+// Optional returns the value of key, or fallback if the key is absent or its value
+// is faulty.
 func Optional[T any](m *Mapping, key string, t Type[T], fallback T) T {
 	n := m.Get(key)
 	if n == nil {
@@ -36,7 +37,8 @@
 	return fallback
 }
 
-// Required reads the value under key and records its absence.
+// Required returns the value of key. If the key is absent or its value is faulty, it
+// records a Problem.
 func Required[T any](m *Mapping, key string, t Type[T]) T {
 	n := m.Require(key, t.expected)
 	var v T
@@ -46,7 +48,7 @@
 	return v
 }
 
-// Values reads every element of the list under key; faulty elements are left out.
+// Values returns the elements of the list under key, without the faulty ones.
 func Values[T any](m *Mapping, key string, t Type[T]) []T {
 	var out []T
 	for _, n := range m.List(key) {
--- a/catalogue/syntax/fuzz_test.go
+++ b/catalogue/syntax/fuzz_test.go
@@ -7,9 +7,9 @@
 	"medlaryard.example/medlaryard/catalogue/syntax"
 )
 
-// Guards against a text that makes the decoder panic, and against a value or
-// fault whose position lies outside the text. Daemons decode what the store
-// holds, so a panic would end all of them. The seeds run with the other tests.
+// Guards against a text that makes Parse panic, and against a value or fault whose
+// position lies outside the text. All daemons parse the catalogue from the store, so
+// a panic would end all of them.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		"", "a: 1", "a: [1, two, 3.5, true, null, ~]", "- {a: b}\n- |\n  text\n  more\n- >-\n  folded",
--- a/catalogue/syntax/kind.go
+++ b/catalogue/syntax/kind.go
@@ -14,7 +14,7 @@
 	Map
 )
 
-// String returns the kind with its article, for messages.
+// String returns the kind for messages, with an article where needed.
 func (k Kind) String() string {
 	switch k {
 	case Text:
--- a/catalogue/syntax/mapping.go
+++ b/catalogue/syntax/mapping.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Mapping reads the keys of one Map node and reports those that nothing read.
+// Mapping reads the keys of one Map node and records unknown keys as Problems.
 type Mapping struct {
 	node     *Node
 	problems *Problems
@@ -13,8 +13,8 @@
 	known    map[string]bool
 }
 
-// ReadMapping starts to read n. When n is not a mapping the fault is recorded,
-// and the result has no keys and reports no further faults.
+// ReadMapping returns a Mapping for n. If n is not a mapping, ReadMapping records that
+// in ps and returns a Mapping that has no keys and records nothing else in ps.
 func ReadMapping(n *Node, ps *Problems) *Mapping {
 	m := &Mapping{node: n, problems: ps, entries: make(map[string]Entry, len(n.entries)), known: make(map[string]bool)}
 	if n.kind != Map {
@@ -27,19 +27,20 @@
 	return m
 }
 
-// Node is the node that the mapping reads.
+// Node returns the node that the mapping reads.
 func (m *Mapping) Node() *Node { return m.node }
 
-// Problems receives the faults of the mapping.
+// Problems returns the list in which the faults of the mapping are recorded.
 func (m *Mapping) Problems() *Problems { return m.problems }
 
-// Get returns the value under key, or nil, and marks key as known.
+// Get returns the value of key, or nil if the key is absent, and marks key as known.
 func (m *Mapping) Get(key string) *Node {
 	m.known[key] = true
 	return m.entries[key].value
 }
 
-// Require is Get that records a missing key; expected describes its value.
+// Require returns the value of key like Get. If the key is absent, it records a
+// Problem with expected as the description of the value.
 func (m *Mapping) Require(key, expected string) *Node {
 	n := m.Get(key)
 	if n == nil {
@@ -48,7 +49,8 @@
 	return n
 }
 
-// List returns the elements of the list under key; none when key is absent.
+// List returns the elements of the list under key, or nil if the key is absent or its
+// value is not a list. The latter is recorded as a Problem.
 func (m *Mapping) List(key string) []*Node {
 	n := m.Get(key)
 	if n == nil {
@@ -61,7 +63,7 @@
 	return n.items
 }
 
-// Close records every key that was neither read nor asked for.
+// Close records a Problem for every key that no earlier call on m has read.
 func (m *Mapping) Close() {
 	var names []string
 	for k := range m.known {
--- a/catalogue/syntax/node.go
+++ b/catalogue/syntax/node.go
@@ -18,7 +18,7 @@
 // Position is where the value starts.
 func (n *Node) Position() Position { return n.position }
 
-// Path leads from the root to the value.
+// Path is the path from the root to the value, for example "services[2].shards.count".
 func (n *Node) Path() string { return n.path }
 
 // Scalar is the text of a scalar, without quotes.
@@ -27,10 +27,11 @@
 // Items are the elements of a Sequence.
 func (n *Node) Items() []*Node { return n.items }
 
-// Entries are the keys of a Map in the order of the text.
+// Entries are the keys and values of a Map in the order of the text.
 func (n *Node) Entries() []Entry { return n.entries }
 
-// Found describes the value for a Problem, shortened to maxFound characters.
+// Found describes the value for a Problem. The text of a scalar is shortened to
+// maxFoundRunes.
 func (n *Node) Found() string {
 	switch n.kind {
 	case Text:
@@ -42,15 +43,16 @@
 	}
 }
 
-// maxFound keeps a message on one readable line.
-const maxFound = 60
+// maxFoundRunes bounds the text of a scalar in a message, so that the message fits on
+// one line.
+const maxFoundRunes = 60
 
 func shorten(s string) string {
 	r := []rune(s)
-	if len(r) <= maxFound {
+	if len(r) <= maxFoundRunes {
 		return s
 	}
-	return string(r[:maxFound]) + "..."
+	return string(r[:maxFoundRunes]) + "..."
 }
 
 func childPath(parent, key string) string {
@@ -64,5 +66,5 @@
 	return parent + "[" + strconv.Itoa(i) + "]"
 }
 
-// NewMap returns a mapping without keys, for a section that the text leaves out.
+// NewMap returns a mapping without keys, for a section that the text omits.
 func NewMap(at Position, path string) *Node { return &Node{kind: Map, position: at, path: path} }
--- a/catalogue/syntax/nullcounter.go
+++ b/catalogue/syntax/nullcounter.go
@@ -2,28 +2,29 @@
 
 import "github.com/goccy/go-yaml/token"
 
-// maxNulls bounds values that are left empty, because the time of the parser
-// grows with their square. An empty value is a fault in every file, but it is
-// reported with its path once the text is parsed.
+// maxNulls bounds the number of empty values, because the parser's time grows with
+// its square. Every empty value is a fault, but up to this bound it is reported with
+// its path after parsing.
 const maxNulls = 1000
 
-// nullCounter counts empty values from the tokens alone.
+// nullCounter counts empty values in the token sequence, before the text is parsed.
 type nullCounter struct {
-	before, previous *token.Token
-	nulls            int
+	beforePrevious, previous *token.Token
+	nulls                    int
 }
 
-// add takes the next token and returns the number of empty values so far.
+// add processes the next token and returns the number of empty values so far.
 func (c *nullCounter) add(tk *token.Token) int {
-	if c.previous != nil && c.empty(tk) {
+	if c.previous != nil && c.previousLacksValue(tk) {
 		c.nulls++
 	}
-	c.before, c.previous = c.previous, tk
+	c.beforePrevious, c.previous = c.previous, tk
 	return c.nulls
 }
 
-// empty reports whether tk shows that the previous entry has no value.
-func (c *nullCounter) empty(tk *token.Token) bool {
+// previousLacksValue reports whether the entry that ends with the previous token has
+// no value, given that tk follows.
+func (c *nullCounter) previousLacksValue(tk *token.Token) bool {
 	if tk.Position.Line == c.previous.Position.Line {
 		return false
 	}
@@ -31,11 +32,11 @@
 	case token.SequenceEntryType:
 		return tk.Position.Column <= c.previous.Position.Column
 	case token.MappingValueType:
-		if c.before == nil {
+		if c.beforePrevious == nil {
 			return true
 		}
-		key := c.before.Position.Column
-		// A list may stand in the column of its key.
+		key := c.beforePrevious.Position.Column
+		// A list may start in the same column as its key.
 		return tk.Position.Column < key || (tk.Position.Column == key && tk.Type != token.SequenceEntryType)
 	default:
 		return false
--- a/catalogue/syntax/parse.go
+++ b/catalogue/syntax/parse.go
@@ -11,13 +11,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxText is the longest text in bytes. The store holds objects of up to 1 MB,
-// and JSON escaping of the text must fit in the rest.
-const MaxText = 900_000
+// MaxTextBytes is the maximum length of a text. The store holds objects of up to 1 MB;
+// the rest is for the JSON escaping of the text.
+const MaxTextBytes = 900_000
 
-// Parse returns one Node for each YAML document in text that is not empty. Name
-// stands in positions. The error is a *Problems; with a fault of single keys,
-// such as a duplicate, the rest of the tree is returned as well.
+// Parse returns one Node for each YAML document in text that is not empty. The
+// parameter name is the file name in positions. The error is a *Problems. If only
+// single keys or values are faulty, such as a duplicate key, Parse returns both the
+// error and the rest of the tree.
 func Parse(name string, text []byte) ([]*Node, error) {
 	ps := &Problems{}
 	if !checkText(name, text, ps) {
@@ -55,8 +56,8 @@
 
 func checkText(name string, text []byte, ps *Problems) bool {
 	at := Position{file: name}
-	if len(text) > MaxText {
-		ps.Add(NewProblem(at, "", fmt.Sprintf("at most %d bytes", MaxText), fmt.Sprintf("%d bytes", len(text))))
+	if len(text) > MaxTextBytes {
+		ps.Add(NewProblem(at, "", fmt.Sprintf("at most %d bytes", MaxTextBytes), fmt.Sprintf("%d bytes", len(text))))
 		return false
 	}
 	if !utf8.Valid(text) {
@@ -75,6 +76,6 @@
 	if tk := fault.GetToken(); tk != nil && tk.Position != nil {
 		at = NewPosition(name, tk.Position.Line, tk.Position.Column)
 	}
-	// The time of fault.Error grows with the square of the text.
+	// The running time of fault.Error grows with the square of the length of the text.
 	return NewProblem(at, "", "valid YAML", fault.GetMessage())
 }
--- a/catalogue/syntax/position.go
+++ b/catalogue/syntax/position.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Position is a place in an input text. Line and column count from 1; both are
-// 0 for a fault of the text as a whole.
+// Position is a place in an input text. Line and column count from 1; both are 0 if
+// the position refers to the text as a whole.
 type Position struct {
 	file   string
 	line   int
@@ -15,16 +15,17 @@
 	return Position{file: file, line: line, column: column}
 }
 
-// File names the input text.
+// File is the name of the input text.
 func (p Position) File() string { return p.file }
 
-// Line counts from 1.
+// Line is the line number, counted from 1.
 func (p Position) Line() int { return p.line }
 
-// Column counts characters from 1.
+// Column is the column number in characters, counted from 1.
 func (p Position) Column() int { return p.column }
 
-// String returns file:line:column, which editors recognise.
+// String returns file:line:column, which editors recognise, or only the file if the
+// position refers to the text as a whole.
 func (p Position) String() string {
 	if p.line == 0 {
 		return p.file
--- a/catalogue/syntax/problem.go
+++ b/catalogue/syntax/problem.go
@@ -10,24 +10,26 @@
 	found    string
 }
 
-// NewProblem returns the Problem that path expected one thing and another was found.
+// NewProblem returns a Problem at the given position and path. The texts expected and
+// found describe the accepted values and the value in the text.
 func NewProblem(at Position, path, expected, found string) Problem {
 	return Problem{position: at, path: path, expected: expected, found: found}
 }
 
-// Position is where the fault stands.
+// Position is the position of the fault.
 func (p Problem) Position() Position { return p.position }
 
-// Path leads from the root to the faulty value, for example "services[2].shards.count".
+// Path is the path from the root to the faulty value, for example
+// "services[2].shards.count".
 func (p Problem) Path() string { return p.path }
 
-// Expected states what would have been accepted.
+// Expected describes the accepted values.
 func (p Problem) Expected() string { return p.expected }
 
-// Found states what stands there instead.
+// Found describes the value in the text.
 func (p Problem) Found() string { return p.found }
 
-// Error returns position, path, expectation and finding on one line.
+// Error returns "position: path: expected ..., found ..." on one line.
 func (p Problem) Error() string {
 	path := p.path
 	if path == "" {
--- a/catalogue/syntax/problems.go
+++ b/catalogue/syntax/problems.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Problems collects the faults of one input.
+// Problems is the list of faults of one input. It implements error.
 type Problems struct {
 	list []Problem
 }
@@ -14,12 +14,13 @@
 // Add records p.
 func (ps *Problems) Add(p Problem) { ps.list = append(ps.list, p) }
 
-// AddAt records that the value at n should have been something else.
+// AddAt records a Problem at the position and path of n.
 func (ps *Problems) AddAt(n *Node, expected, found string) {
 	ps.Add(NewProblem(n.Position(), n.Path(), expected, found))
 }
 
-// Merge records the faults of err, which a function of this module returned.
+// Merge records err: each Problem of a *Problems, or any other error as one Problem
+// without a position. It ignores nil.
 func (ps *Problems) Merge(err error) {
 	var other *Problems
 	if errors.As(err, &other) {
@@ -29,7 +30,7 @@
 	}
 }
 
-// List returns the faults in order of file, line and column.
+// List returns the faults sorted by file, line and column.
 func (ps *Problems) List() []Problem {
 	sorted := append([]Problem(nil), ps.list...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -45,7 +46,7 @@
 	return sorted
 }
 
-// Err returns ps as an error, or nil when nothing was recorded.
+// Err returns ps as an error, or nil if it has no faults.
 func (ps *Problems) Err() error {
 	if len(ps.list) == 0 {
 		return nil
--- a/catalogue/syntax/tokens.go
+++ b/catalogue/syntax/tokens.go
@@ -6,35 +6,36 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// maxDepth bounds nesting so that a hostile text cannot exhaust the parser's
-// stack. The deepest value of a catalogue stands at level 9.
+// maxDepth bounds the nesting, so that a malicious text cannot exhaust the parser's
+// stack. The deepest value of a catalogue is at level 9.
 const maxDepth = 32
 
-// checkTokens refuses what the tree cannot represent, before the parser recurses into it.
+// checkTokens rejects unsupported constructs and exceeded limits before the parser
+// recurses into them.
 func checkTokens(name string, tokens token.Tokens, ps *Problems) bool {
 	ok := true
-	flow, inline, line := 0, 0, 0
+	flowDepth, lineIndicators, line := 0, 0, 0
 	var keys keyCounter
 	var nulls nullCounter
 	var previous *token.Token
 	for _, tk := range tokens {
 		at := NewPosition(name, tk.Position.Line, tk.Position.Column)
-		if what := refusedToken(tk.Type); what != "" {
-			ps.Add(NewProblem(at, "", "plain mappings, lists and scalars", what))
+		if construct := unsupportedToken(tk.Type); construct != "" {
+			ps.Add(NewProblem(at, "", "plain mappings, lists and scalars", construct))
 			ok = false
 		}
 		if tk.Position.Line != line {
-			inline, line = 0, tk.Position.Line
+			lineIndicators, line = 0, tk.Position.Line
 		}
 		switch tk.Type {
 		case token.SequenceStartType, token.MappingStartType:
-			flow++
+			flowDepth++
 		case token.SequenceEndType, token.MappingEndType:
-			flow--
+			flowDepth--
 		case token.SequenceEntryType, token.MappingValueType:
-			inline++
+			lineIndicators++
 		}
-		if flow > maxDepth || (flow == 0 && inline > maxDepth) {
+		if flowDepth > maxDepth || (flowDepth == 0 && lineIndicators > maxDepth) {
 			ps.Add(NewProblem(at, "", fmt.Sprintf("at most %d levels of nesting", maxDepth), "more"))
 			return false
 		}
@@ -51,7 +52,7 @@
 	return ok
 }
 
-func refusedToken(t token.Type) string {
+func unsupportedToken(t token.Type) string {
 	switch t {
 	case token.AnchorType:
 		return "an anchor"
