--- a/admission/limiter_test.go
+++ b/admission/limiter_test.go
@@ -12,7 +12,7 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-func init() { invariant.FatalInTests() }
+func init() { invariant.PanicOnViolation() }
 
 func limits(rate float64, concurrency int) catalogue.Limits {
 	return catalogue.NewLimits(catalogue.LimitsSpec{Rate: rate, Concurrency: concurrency})
@@ -52,7 +52,7 @@
 			release()
 			continue
 		}
-		if e := refusal.Of(err); e.Kind() != c.kind || e.Ran() != refusal.NotRun {
+		if e := refusal.FromError(err); e.Kind() != c.kind || e.Ran() != refusal.NotRun {
 			t.Errorf("%s, %s: %v", c.owner, c.class, err)
 		}
 	}
--- a/admission/suspects.go
+++ b/admission/suspects.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Age returns the time since the latest crash of a fingerprint.
-func (s *Suspects) Age(fingerprint uint64) time.Duration {
+// SinceLastCrash returns the time since the latest crash of a fingerprint.
+func (s *Suspects) SinceLastCrash(fingerprint uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.clk.Boot() - s.table[fingerprint].at
--- a/catalogue/diff/estates.go
+++ b/catalogue/diff/compare.go
@@ -7,11 +7,11 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// Estates returns the changes that lead from before to after: removals and
+// Compare returns the changes that lead from before to after: removals and
 // changes in the order of before, then additions in the order of after. Shards or
 // searchers of one service that change in the same way share one Change, so that a
 // new row of replicas is one line. Generations are not compared.
-func Estates(before, after catalogue.Estate) []Change {
+func Compare(before, after catalogue.Estate) []Change {
 	oldItems, newItems := items(before), items(after)
 	oldByName, newByName := itemsByKey(oldItems), itemsByKey(newItems)
 	var changes []Change
@@ -81,8 +81,8 @@
 	return out
 }
 
-// Text returns one line for each change, or "no difference" if there are none.
-func Text(changes []Change) string {
+// Format returns one line for each change, or "no difference" if there are none.
+func Format(changes []Change) string {
 	if len(changes) == 0 {
 		return "no difference\n"
 	}
--- a/catalogue/diff/estates_test.go
+++ b/catalogue/diff/compare_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a change that the commands check and apply do not show, and
 // against one line per searcher for a change to a row of replicas.
-func TestEstates(t *testing.T) {
+func TestCompare(t *testing.T) {
 	tests := []struct {
 		name, old, new string
 		want           string
@@ -62,7 +62,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if d := cmp.Diff(tt.want, diff.Text(diff.Estates(before, after))); d != "" {
+			if d := cmp.Diff(tt.want, diff.Format(diff.Compare(before, after))); d != "" {
 				t.Error(d)
 			}
 		})
--- a/catalogue/publish/publisher.go
+++ b/catalogue/publish/publisher.go
@@ -75,9 +75,9 @@
 // Apply checks text and writes it as the successor of generation baseGeneration.
 // It returns the catalogue that is then in force. If text equals the text in
 // force, Apply writes nothing. The error is a *syntax.Problems for a faulty text,
-// a *Race if another change is in force than the one at baseGeneration, or an
-// *Unknown if the outcome of the write is unknown. With any other error, nothing
-// was written.
+// a *ConflictError if another change is in force than the one at baseGeneration,
+// or an *OutcomeUnknownError if the outcome of the write is unknown. With any
+// other error, nothing was written.
 func (p *Publisher) Apply(ctx context.Context, text []byte, author string, baseGeneration uint64) (Current, error) {
 	if _, err := evaluate.Text("catalogue", text, baseGeneration+1); err != nil {
 		return Current{}, err
@@ -90,7 +90,7 @@
 		return Current{}, err
 	}
 	if current.Generation() != baseGeneration {
-		return current, &Race{baseGeneration: baseGeneration, current: current}
+		return current, &ConflictError{baseGeneration: baseGeneration, current: current}
 	}
 	if baseGeneration > 0 && current.Text() == string(text) {
 		return current, nil
@@ -117,7 +117,7 @@
 // object only, so it takes effect at most once, and the token in the object shows
 // whether it did.
 func (p *Publisher) write(ctx context.Context, next Current, value []byte, version uint64) (Current, error) {
-	r := &retry{clock: p.clock, backoff: p.initialBackoff, unknown: Unknown{generation: next.Generation(), token: next.Token()}}
+	r := &retry{clock: p.clock, backoff: p.initialBackoff, unknownError: OutcomeUnknownError{generation: next.Generation(), token: next.Token()}}
 	for replyLost := false; ; replyLost = true {
 		_, err := p.store.Put(ctx, Key, value, version)
 		if err == nil {
@@ -145,7 +145,7 @@
 		case current.Token() == next.Token():
 			return current, nil
 		case !replyLost || current.Generation() <= next.Generation():
-			return current, &Race{baseGeneration: next.Generation() - 1, current: current}
+			return current, &ConflictError{baseGeneration: next.Generation() - 1, current: current}
 		default:
 			// Only the latest generation can be read, so it is unknown whether next was
 			// among the earlier ones.
--- a/catalogue/publish/publisher_test.go
+++ b/catalogue/publish/publisher_test.go
@@ -96,8 +96,8 @@
 			based := uint64(rapid.IntRange(0, len(s.tokens)).Draw(t, "based"))
 			got, err := p.Apply(context.Background(), catalogueText(i), "operator", based)
 			written := strings.Count(strings.Join(s.tokens, " "), token)
-			var race *publish.Race
-			var unknown *publish.Unknown
+			var race *publish.ConflictError
+			var unknown *publish.OutcomeUnknownError
 			switch {
 			case err == nil:
 				if written != 1 || got.Generation() != based+1 || got.Token() != token {
@@ -140,7 +140,7 @@
 		return ""
 	}
 	now, err := p.Apply(context.Background(), catalogueText(2), "Baraka", 1)
-	var race *publish.Race
+	var race *publish.ConflictError
 	if !errors.As(err, &race) || now.Generation() != 2 || !strings.Contains(err.Error(), `"other" has applied generation 2`) {
 		t.Fatalf("got generation %d, error %v", now.Generation(), err)
 	}
--- a/catalogue/publish/retry.go
+++ b/catalogue/publish/retry.go
@@ -17,16 +17,16 @@
 )
 
 // retry delays the store calls of one change after failures. When it gives up, it
-// returns a copy of unknown.
+// returns a copy of unknownError.
 type retry struct {
-	clock    clock.Clock
-	backoff  time.Duration
-	failures int
-	unknown  Unknown
+	clock        clock.Clock
+	backoff      time.Duration
+	failures     int
+	unknownError OutcomeUnknownError
 }
 
-// wait delays the next call after the failure cause. It returns an *Unknown if there
-// were too many failures or ctx has ended.
+// wait delays the next call after the failure cause. It returns an
+// *OutcomeUnknownError if there were too many failures or ctx has ended.
 func (r *retry) wait(ctx context.Context, cause error) error {
 	r.failures++
 	if r.failures >= maxFailures || clock.Sleep(ctx, r.clock, r.backoff) != nil {
@@ -37,7 +37,7 @@
 }
 
 func (r *retry) outcomeUnknown(cause error) error {
-	u := r.unknown
-	u.cause = cause
-	return &u
+	e := r.unknownError
+	e.cause = cause
+	return &e
 }
--- a/cell/fleet_test.go
+++ b/cell/fleet_test.go
@@ -77,7 +77,7 @@
 		WithStore(nodeStore{f.st, n}), WithName("c"), WithSeeds(seeds), WithParse(parseText),
 		WithVMs(func(name string) (bool, bool) { return f.listed[name], true }),
 		WithCalls(Calls{Heartbeat: peerCall(n, (*Cell).HandleHeartbeat), Sync: peerCall(n, (*Cell).HandleSync), Release: peerCall(n, (*Cell).HandleRelease)}),
-		WithRelease(n.release),
+		WithReleaseGroups(n.release),
 		withSpawn(func(g func()) { f.start(n, 0, g) }),
 		withToken(func() string { tokens++; return fmt.Sprintf("%s-%d", id, tokens) }))
 	f.nodes[index] = n
--- a/cell/handoff.go
+++ b/cell/handoff.go
@@ -136,7 +136,7 @@
 		}
 		c.unlock()
 		if len(confirmed) > 0 {
-			c.cfg.importGroups(confirmed)
+			c.cfg.importEstimates(confirmed)
 		}
 	})
 }
--- a/cell/invalidinput_test.go
+++ b/cell/invalidinput_test.go
@@ -28,10 +28,10 @@
 		{"too large", strings.Repeat(" ", maxObject+1)},
 	} {
 		name, value := c[0], c[1]
-		before := meter.Value("cell.refused.configuration")
+		before := meter.CounterValue("cell.refused.configuration")
 		f.st.set(CatalogueKey, []byte(value))
 		f.requireDuring(time.Second, name, f.checkConverged)
-		if meter.Value("cell.refused.configuration") == before {
+		if meter.CounterValue("cell.refused.configuration") == before {
 			t.Errorf("%s: not counted", name)
 		}
 	}
@@ -102,11 +102,11 @@
 	} {
 		m := proto.Clone(good).(*peerpb.Membership)
 		change(m)
-		before := meter.Value("cell.refused.membership")
+		before := meter.CounterValue("cell.refused.membership")
 		if _, err := n.cell.HandleSync(context.Background(), &peerpb.SyncRequest{Membership: m}); err != nil {
 			t.Fatal(err)
 		}
-		if n.cell.view.membership.epoch >= good.Epoch || meter.Value("cell.refused.membership") == before {
+		if n.cell.view.membership.epoch >= good.Epoch || meter.CounterValue("cell.refused.membership") == before {
 			t.Errorf("%s: adopted or not counted", name)
 		}
 	}
--- a/cell/main_test.go
+++ b/cell/main_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMain(m *testing.M) {
-	invariant.FatalInTests()
+	invariant.PanicOnViolation()
 	zerolog.SetGlobalLevel(zerolog.Disabled)
 	os.Exit(m.Run())
 }
--- a/cell/option.go
+++ b/cell/option.go
@@ -14,30 +14,30 @@
 type Option func(*config)
 
 type config struct {
-	clk           clock.Clock
-	store         store.Store
-	cell          string
-	calls         Calls
-	parse         func(name, text string, generation uint64) (catalogue.Estate, error)
-	seeds         []string
-	lookupVM      func(name string) (listed, known bool)
-	releaseGroups func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup
-	importGroups  func([]*peerpb.ReleasedGroup)
-	selectGroups  func(catalogue.Estate) []catalogue.Group
-	spawn         func(func())
-	newToken      func() string
+	clk             clock.Clock
+	store           store.Store
+	cell            string
+	calls           Calls
+	parse           func(name, text string, generation uint64) (catalogue.Estate, error)
+	seeds           []string
+	lookupVM        func(name string) (listed, known bool)
+	releaseGroups   func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup
+	importEstimates func([]*peerpb.ReleasedGroup)
+	selectGroups    func(catalogue.Estate) []catalogue.Group
+	spawn           func(func())
+	newToken        func() string
 }
 
 func newConfig(opts []Option) config {
 	c := config{
-		clk:           clock.System{},
-		cell:          "main",
-		lookupVM:      func(string) (bool, bool) { return false, false },
-		releaseGroups: func(context.Context, []string) []*peerpb.ReleasedGroup { return nil },
-		importGroups:  func([]*peerpb.ReleasedGroup) {},
-		selectGroups:  allGroups,
-		spawn:         func(f func()) { go f() },
-		newToken:      rand.Text,
+		clk:             clock.System{},
+		cell:            "main",
+		lookupVM:        func(string) (bool, bool) { return false, false },
+		releaseGroups:   func(context.Context, []string) []*peerpb.ReleasedGroup { return nil },
+		importEstimates: func([]*peerpb.ReleasedGroup) {},
+		selectGroups:    allGroups,
+		spawn:           func(f func()) { go f() },
+		newToken:        rand.Text,
 	}
 	for _, o := range opts {
 		o(&c)
@@ -89,15 +89,15 @@
 	return func(c *config) { c.lookupVM = vms }
 }
 
-// WithRelease sets the function that stops the homes of groups. It returns the
+// WithReleaseGroups sets the function that stops the homes of groups. It returns the
 // estimates of these homes once none of their requests is in flight.
-func WithRelease(release func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup) Option {
-	return func(c *config) { c.releaseGroups = release }
+func WithReleaseGroups(releaseGroups func(ctx context.Context, groups []string) []*peerpb.ReleasedGroup) Option {
+	return func(c *config) { c.releaseGroups = releaseGroups }
 }
 
-// WithImport sets the function that receives the estimates of previous homes.
-func WithImport(adopt func([]*peerpb.ReleasedGroup)) Option {
-	return func(c *config) { c.importGroups = adopt }
+// WithImportEstimates sets the function that receives the estimates of previous homes.
+func WithImportEstimates(importEstimates func([]*peerpb.ReleasedGroup)) Option {
+	return func(c *config) { c.importEstimates = importEstimates }
 }
 
 // WithGroups sets the function that selects the replica groups for which the cell
--- a/cell/scenario_test.go
+++ b/cell/scenario_test.go
@@ -206,7 +206,7 @@
 	}
 	n.storeCut = true
 	f.run(8*time.Second, f.checkShares)
-	if s := n.cell.Status(); !s.Isolated || s.InForce != 1 || s.LeaseLeft != 0 {
+	if s := n.cell.Status(); !s.Isolated || s.GenerationInForce != 1 || s.LeaseLeft != 0 {
 		t.Errorf("status of the isolated member: %+v", s)
 	}
 	f.requireDuring(5*time.Second, "homes elsewhere", f.checkConverged)
--- a/cell/status.go
+++ b/cell/status.go
@@ -14,7 +14,7 @@
 	Settled           bool          `json:"settled"`
 	Members           int           `json:"members"`
 	HighestGeneration uint64        `json:"asked_generation"`    // Highest generation that this daemon has seen.
-	InForce           uint64        `json:"in_force_generation"` // Generation that this daemon uses.
+	GenerationInForce uint64        `json:"in_force_generation"` // Generation that this daemon uses.
 	InForceSince      time.Time     `json:"in_force_since"`
 	Author            string        `json:"author"`
 	Applied           time.Time     `json:"applied,omitzero"`  // When the author applied it.
@@ -37,7 +37,7 @@
 		Incarnation:       c.self.Incarnation(),
 		IsLeader:          c.leader != nil,
 		HighestGeneration: c.configuration.highestGeneration,
-		InForce:           c.configuration.doc.Generation,
+		GenerationInForce: c.configuration.doc.Generation,
 		InForceSince:      c.configuration.inForceSince,
 		Author:            c.configuration.doc.Author,
 		Applied:           c.configuration.doc.Time,
--- a/command/code.go
+++ b/command/code.go
@@ -52,8 +52,8 @@
 	var (
 		e       *exitError
 		ps      *syntax.Problems
-		race    *publish.Race
-		unknown *publish.Unknown
+		race    *publish.ConflictError
+		unknown *publish.OutcomeUnknownError
 	)
 	switch {
 	case err == nil:
--- a/command/difference.go
+++ b/command/difference.go
@@ -21,5 +21,5 @@
 			return "", err
 		}
 	}
-	return diff.Text(diff.Estates(before, proposed)), nil
+	return diff.Format(diff.Compare(before, proposed)), nil
 }
--- a/daemon/condition.go
+++ b/daemon/condition.go
@@ -67,7 +67,7 @@
 }
 
 func (c *conditions) observe(now time.Duration, s cell.Status) {
-	l := c.log().With().Str("cell", s.Cell).Uint64("epoch", s.Epoch).Uint64("generation", s.InForce).Logger()
+	l := c.log().With().Str("cell", s.Cell).Uint64("epoch", s.Epoch).Uint64("generation", s.GenerationInForce).Logger()
 	c.standstill.observe(l, now, s.Standstill)
 	c.isolation.observe(l, now, s.Isolated && (c.isolation.active || now-c.started >= startupGrace))
 }
--- a/daemon/condition_test.go
+++ b/daemon/condition_test.go
@@ -23,7 +23,7 @@
 	counters := []string{"standstill.began", "standstill.ended", "isolation.began", "isolation.ended"}
 	before := make(map[string]int64)
 	for _, name := range counters {
-		before[name] = meter.Value("daemon." + name)
+		before[name] = meter.CounterValue("daemon." + name)
 	}
 	for _, step := range []struct {
 		after      time.Duration // Since the start.
@@ -53,7 +53,7 @@
 		if name == "standstill.began" {
 			want = 2
 		}
-		if n := meter.Value("daemon."+name) - before[name]; n != want {
+		if n := meter.CounterValue("daemon."+name) - before[name]; n != want {
 			t.Errorf("counter %s grew by %d, want %d", name, n, want)
 		}
 	}
@@ -63,9 +63,9 @@
 func TestDaemonCountsIsolation(t *testing.T) {
 	f := newFixture(t, 1)
 	f.waitReady()
-	began, ended := meter.Value("daemon.isolation.began"), meter.Value("daemon.isolation.ended")
+	began, ended := meter.CounterValue("daemon.isolation.began"), meter.CounterValue("daemon.isolation.ended")
 	f.store.SetFaults(objects.Faults{Outage: true})
-	f.waitFor("begin of isolation", func() bool { return meter.Value("daemon.isolation.began") == began+1 })
+	f.waitFor("begin of isolation", func() bool { return meter.CounterValue("daemon.isolation.began") == began+1 })
 	f.store.SetFaults(objects.Faults{})
-	f.waitFor("end of isolation", func() bool { return meter.Value("daemon.isolation.ended") == ended+1 })
+	f.waitFor("end of isolation", func() bool { return meter.CounterValue("daemon.isolation.ended") == ended+1 })
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -95,9 +95,9 @@
 	d.suspects = admission.NewSuspects(d.clk, d.strikes.enqueue)
 	d.homes = home.NewSet(
 		home.WithLeaseEnd(func() time.Duration { return d.cell.LeaseEnd() }),
-		home.WithCrash(d.suspects.RecordCrash),
-		home.WithTargets(func(s *catalogue.Searcher) *searcher.Target {
-			return searcher.NewTargetOf(s, searcher.WithReplyLimit(cfg.SearcherReplyBytes()))
+		home.WithCrashHandler(d.suspects.RecordCrash),
+		home.WithTargetFactory(func(s *catalogue.Searcher) *searcher.Target {
+			return searcher.NewHTTPTarget(s, searcher.WithReplyLimit(cfg.SearcherReplyBytes()))
 		}),
 	)
 	d.suspectGate = admission.NewSuspectGate(d.suspects, d.homes.Do)
@@ -123,8 +123,8 @@
 			return evaluate.Text(name, []byte(text), generation)
 		}),
 		cell.WithSeeds(d.cfg.Peers()),
-		cell.WithRelease(d.release),
-		cell.WithImport(d.importEstimates),
+		cell.WithReleaseGroups(d.release),
+		cell.WithImportEstimates(d.importEstimates),
 	}
 	if d.vms != nil {
 		options = append(options, cell.WithVMs(vmLookup(d.cfg.Name(), d.cfg.VMListInterval(), d.vms.List, d.clk.Boot)))
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -24,7 +24,7 @@
 	"medlaryard.example/medlaryard/standin/searchers"
 )
 
-func init() { invariant.FatalInTests() }
+func init() { invariant.PanicOnViolation() }
 
 // waitTimeout is how long waitFor waits. The tests assert nothing about the time.
 const waitTimeout = 30 * time.Second
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -106,7 +106,7 @@
 
 // refuseAll returns a refusal for every item of a message that cannot be decoded.
 func refuseAll(in *peerpb.RelayRequest, err error) []shard.Result {
-	e := refusal.Of(err)
+	e := refusal.FromError(err)
 	results := make([]shard.Result, 0, len(in.Items))
 	for _, item := range in.Items {
 		results = append(results, shard.NewResult(shard.ResultSpec{
--- a/daemon/handlers.go
+++ b/daemon/handlers.go
@@ -29,8 +29,8 @@
 // release stops the homes of groups and returns their estimates of searchers.
 func (d *daemon) release(ctx context.Context, groups []string) []*peerpb.ReleasedGroup {
 	var out []*peerpb.ReleasedGroup
-	for _, r := range d.homes.Release(ctx, groups) {
-		out = append(out, encodeReleased(r))
+	for _, h := range d.homes.Release(ctx, groups) {
+		out = append(out, encodeHandoff(h))
 	}
 	return out
 }
@@ -39,14 +39,14 @@
 func (d *daemon) importEstimates(groups []*peerpb.ReleasedGroup) {
 	for _, g := range groups {
 		if g != nil {
-			d.homes.ImportEstimates(g.Group, decodeReleased(g))
+			d.homes.ImportEstimates(g.Group, decodeHandoff(g))
 		}
 	}
 }
 
-func encodeReleased(r home.Released) *peerpb.ReleasedGroup {
-	out := &peerpb.ReleasedGroup{Group: r.Group()}
-	for _, e := range r.Searchers() {
+func encodeHandoff(h home.Handoff) *peerpb.ReleasedGroup {
+	out := &peerpb.ReleasedGroup{Group: h.Group()}
+	for _, e := range h.Searchers() {
 		out.Searchers = append(out.Searchers, &peerpb.SearcherEstimate{
 			Name: e.Name(), Address: e.Address(), Warm: e.Warm(),
 			LatencyUs: e.Latency().Microseconds(), ColdLimit: uint32(max(0, e.ColdLimit())),
@@ -55,7 +55,7 @@
 	return out
 }
 
-func decodeReleased(g *peerpb.ReleasedGroup) home.Released {
+func decodeHandoff(g *peerpb.ReleasedGroup) home.Handoff {
 	var list []home.Estimate
 	for _, s := range g.Searchers {
 		if s != nil {
@@ -65,5 +65,5 @@
 			}))
 		}
 	}
-	return home.NewReleased(g.Group, list)
+	return home.NewHandoff(g.Group, list)
 }
--- a/daemon/logging_test.go
+++ b/daemon/logging_test.go
@@ -17,7 +17,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	var out bytes.Buffer
 	l := zerolog.New(&out).Sample(newLineSampler(func() time.Time { return now }))
-	dropped := meter.Value("log.dropped.warn")
+	dropped := meter.CounterValue("log.dropped.warn")
 	for range 1000 {
 		l.Warn().Str("service", "songs").Msg("storm")
 	}
@@ -36,7 +36,7 @@
 	if lines["storm"] != linesPerSecond || lines["rare"] != 1 || lines["later"] != 1 {
 		t.Errorf("lines %v", lines)
 	}
-	if n := meter.Value("log.dropped.warn") - dropped; n != 1000-linesPerSecond {
+	if n := meter.CounterValue("log.dropped.warn") - dropped; n != 1000-linesPerSecond {
 		t.Errorf("%d lines counted as dropped", n)
 	}
 }
--- a/daemon/moves.go
+++ b/daemon/moves.go
@@ -42,7 +42,7 @@
 ) *moves {
 	return &moves{
 		clk: clk, cell: c, homes: homes, incarnation: incarnation, report: report,
-		controller: move.NewController(clk, s, rand.Text, move.WithHolds(c.IsLeader)),
+		controller: move.NewController(clk, s, rand.Text, move.WithLeadershipCheck(c.IsLeader)),
 		follower:   move.NewFollower(clk, homes.SetMoveShare),
 	}
 }
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, s := range reply.GetShares() {
-		m.follower.Apply(move.FromShare(s))
+		m.follower.Apply(move.StateFromProto(s))
 	}
 }
 
@@ -101,7 +101,7 @@
 
 func (m *moves) recordStops(stops []move.Stop) {
 	for _, s := range stops {
-		m.controller.Stopped(s.Service(), s.Move(), s.To(), s.Reason())
+		m.controller.RecordStop(s.Service(), s.Move(), s.To(), s.Reason())
 	}
 }
 
@@ -114,11 +114,11 @@
 	}
 	m.controller.Report(in.GetIncarnation(), decodeEvidence(in))
 	for _, s := range in.GetStops() {
-		m.controller.Stopped(s.GetService(), s.GetMove(), s.GetTo(), s.GetReason())
+		m.controller.RecordStop(s.GetService(), s.GetMove(), s.GetTo(), s.GetReason())
 	}
 	reply := &peerpb.ReportReply{}
 	for _, s := range m.controller.States() {
-		reply.Shares = append(reply.Shares, s.ToShare())
+		reply.Shares = append(reply.Shares, s.ToProto())
 	}
 	return reply, nil
 }
--- a/daemon/prober.go
+++ b/daemon/prober.go
@@ -65,7 +65,7 @@
 	}
 	meter.Count("daemon.probe.failed", 1)
 	p.unanswered[h.Name()]++
-	if refusal.Of(err).Ran() == refusal.NotRun || p.unanswered[h.Name()] >= maxUnansweredProbes {
+	if refusal.FromError(err).Ran() == refusal.NotRun || p.unanswered[h.Name()] >= maxUnansweredProbes {
 		p.recordContact(h, false)
 	}
 }
--- a/daemon/run.go
+++ b/daemon/run.go
@@ -18,7 +18,7 @@
 func Run(ctx context.Context, cfg settings.Settings) error {
 	limitLogRate()
 	if os.Getenv(fatalInvariantsEnv) != "" {
-		invariant.FatalInTests()
+		invariant.PanicOnViolation()
 	}
 	d, err := newDaemon(cfg)
 	if err != nil {
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -40,7 +40,7 @@
 	// The other daemons return this address until they know that this daemon is
 	// leaving, and callers keep it for the address TTL.
 	_ = clock.Sleep(ctx, d.clk, addressWait)
-	d.entry.Leave()
+	d.entry.StopAccepting()
 	// The wait ends with the longest deadline of a request or at the shutdown limit.
 	for d.entry.InFlight() > 0 && clock.Sleep(ctx, d.clk, drainPollInterval) == nil {
 		continue
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -114,11 +114,11 @@
 		st := serviceStatus{
 			Name: s.Name(), Policy: string(s.Policy()),
 			appliedState: appliedState{
-				Requested: fmt.Sprintf("generation %d", c.HighestGeneration), InForce: fmt.Sprintf("generation %d", c.InForce),
+				Requested: fmt.Sprintf("generation %d", c.HighestGeneration), InForce: fmt.Sprintf("generation %d", c.GenerationInForce),
 				Since: c.InForceSince, Reason: c.Refused,
 			},
 		}
-		if c.HighestGeneration > c.InForce && st.Reason == "" {
+		if c.HighestGeneration > c.GenerationInForce && st.Reason == "" {
 			st.Reason = "the newer catalogue has not been read yet"
 		}
 		st.Moves = d.moveStatus(s.Name())
@@ -179,7 +179,7 @@
 	for _, s := range h.Searchers() {
 		st.Searchers = append(st.Searchers, searcherStatus{
 			Name: s.Name(), State: s.State(), Version: s.Version(), InFlight: s.InFlight(),
-			Limit: s.Limit(), Open: s.Open(), LatencyUS: s.Latency().Microseconds(),
+			Limit: s.Limit(), Open: s.OpenConnections(), LatencyUS: s.Latency().Microseconds(),
 		})
 	}
 	return st
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -80,7 +80,7 @@
 	}
 	results, err := a.e.fleet.Relay(ctx, h, []shard.Request{r})
 	if err != nil {
-		e := refusal.Of(err)
+		e := refusal.FromError(err)
 		if ctx.Err() == nil {
 			a.e.reachability.recordFailure(h)
 		}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -22,10 +22,10 @@
 	once         *once.Table
 	cutoffs      ticketCutoffs
 	// incarnation is this daemon's incarnation, as named in tickets.
-	incarnation string
-	sendCount   atomic.Uint64
-	inFlight    atomic.Int64
-	leaving     atomic.Bool
+	incarnation      string
+	sendCount        atomic.Uint64
+	inFlight         atomic.Int64
+	stoppedAccepting atomic.Bool
 
 	admit        func(estate catalogue.Estate, owner string, class catalogue.Class, s *catalogue.Service) (func(), error)
 	suspectState func(fingerprint uint64) SuspectState
@@ -87,8 +87,8 @@
 	return e
 }
 
-// Leave makes the entry refuse new requests. Requests in flight continue.
-func (e *Entry) Leave() { e.leaving.Store(true) }
+// StopAccepting makes the entry refuse new requests. Requests in flight continue.
+func (e *Entry) StopAccepting() { e.stoppedAccepting.Store(true) }
 
 // InFlight returns the number of requests in flight.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
@@ -116,7 +116,7 @@
 // a function that releases the admitted request. Refusals are "not run", because
 // nothing has been sent yet.
 func (e *Entry) accept(q *Query) (*catalogue.Service, uint64, func(), error) {
-	if e.leaving.Load() {
+	if e.stoppedAccepting.Load() {
 		return nil, 0, nil, refusal.New(refusal.ShuttingDown, "daemon is shutting down")
 	}
 	estate, ok := e.fleet.Estate()
--- a/entry/failover_test.go
+++ b/entry/failover_test.go
@@ -135,7 +135,7 @@
 			_, err := c.e.Search(context.Background(), query("q"), c.clk.Boot())
 			list := takeSent()
 			if crash {
-				if e := refusal.Of(err); len(list) != 1 || e.Ran() != refusal.DidRun {
+				if e := refusal.FromError(err); len(list) != 1 || e.Ran() != refusal.DidRun {
 					t.Errorf("crash: %d sends, %v", len(list), err)
 				}
 				return
--- a/entry/fakecluster_test.go
+++ b/entry/fakecluster_test.go
@@ -16,7 +16,7 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-func init() { invariant.FatalInTests() }
+func init() { invariant.PanicOnViolation() }
 
 // fakeClock is the fake clock of testing/synctest as a clock.Clock.
 type fakeClock struct {
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -24,7 +24,7 @@
 	// daemon's own home can serve.
 	AvailableSnapshots func(group string) []shard.Label
 	// Relay sends the requests of one query to another daemon in one call. An
-	// error means that the daemon did not answer. refusal.Of(err).Ran() is
+	// error means that the daemon did not answer. refusal.FromError(err).Ran() is
 	// NotRun only if no byte of the call was written.
 	Relay func(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error)
 	// Outcome asks another daemon for the outcome of a non-idempotent request.
--- a/entry/random_test.go
+++ b/entry/random_test.go
@@ -22,7 +22,7 @@
 // duplicated, reordered or wrongly labelled.
 func TestRandomisedAnswersEqualTheReference(t *testing.T) {
 	var total answerCounts
-	restarts := meter.Value("entry.retried.snapshot_gone")
+	restarts := meter.CounterValue("entry.retried.snapshot_gone")
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(t, seed)
@@ -33,7 +33,7 @@
 			time.Sleep(5 * time.Second) // Lets late calls finish.
 		})
 	}
-	restarts = meter.Value("entry.retried.snapshot_gone") - restarts
+	restarts = meter.CounterValue("entry.retried.snapshot_gone") - restarts
 	t.Logf("%d complete, %d partial, %d refused, %d restarts", total.complete, total.partial, total.refused, restarts)
 	if total.complete == 0 || total.partial == 0 || total.refused == 0 || restarts == 0 {
 		t.Errorf("run did not produce all kinds of answer: %+v, %d restarts", total, restarts)
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -101,7 +101,7 @@
 // handleError handles a call without an answer and sends its subqueries to the
 // next daemon. If the call may have run, this takes tokens from the budget.
 func (f *fanout) handleError(ctx context.Context, r reply) {
-	e := refusal.Of(r.err)
+	e := refusal.FromError(r.err)
 	if ctx.Err() == nil {
 		f.s.e.reachability.recordFailure(r.batch.home)
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -52,7 +52,7 @@
 	} else {
 		o = e.runLocally(ctx, r, deadline)
 	}
-	meter.Latency("entry.run_latency", e.clk.Boot()-began)
+	meter.ObserveLatency("entry.run_latency", e.clk.Boot()-began)
 	meter.Count("entry.runs", 1)
 	return o
 }
--- a/entry/search.go
+++ b/entry/search.go
@@ -120,7 +120,7 @@
 
 // observe records latency and coverage metrics of one query.
 func (e *Entry) observe(service string, a *Answer, took time.Duration) {
-	meter.Latency("entry.latency."+service, took)
+	meter.ObserveLatency("entry.latency."+service, took)
 	if a == nil {
 		return
 	}
@@ -131,5 +131,5 @@
 			meter.Count("entry.missing."+string(m.reason), 1)
 		}
 	}
-	meter.Sample("entry.coverage_ppm."+service, int64(a.fraction()*1e6))
+	meter.ObserveValue("entry.coverage_ppm."+service, int64(a.fraction()*1e6))
 }
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -59,7 +59,7 @@
 		if err := json.Unmarshal(data, &r); err != nil {
 			t.Fatalf("%s: %s: %v", name, data, err)
 		}
-		want := refusal.For(kind)
+		want := refusal.AnswerFor(kind)
 		if r.Kind != kind || resp.StatusCode != want.Status() || r.Retry != want.Retry() || r.Ran != refusal.NotRun {
 			t.Errorf("%s: status %d, refusal %+v; want kind %s", name, resp.StatusCode, r, kind)
 		}
@@ -76,7 +76,7 @@
 	s.connections.Add(maxConnections)
 	check("connections", "/v1/query", validQuery, refusal.Overloaded)
 	s.connections.Add(-maxConnections)
-	e.Leave()
+	e.StopAccepting()
 	check("leaving", "/v1/query", validQuery, refusal.ShuttingDown)
 }
 
--- a/entry/wire.go
+++ b/entry/wire.go
@@ -97,8 +97,8 @@
 
 // writeRefusal writes err as a refusal, with the HTTP status of its kind.
 func writeRefusal(c *fasthttp.RequestCtx, id string, err error) {
-	e := refusal.Of(err)
-	a := refusal.For(e.Kind())
+	e := refusal.FromError(err)
+	a := refusal.AnswerFor(e.Kind())
 	meter.Refused("entry", e.Kind())
 	writeJSON(c, a.Status(), refusalReply{ID: id, Kind: e.Kind(), Ran: e.Ran(), Retry: a.Retry(), Detail: e.Detail()})
 }
--- a/home/apply.go
+++ b/home/apply.go
@@ -64,7 +64,7 @@
 	if r, ok := s.imported[spec.ID()]; ok {
 		delete(s.imported, spec.ID())
 		if s.clock.Boot()-r.at < importedEstimatesTTL {
-			g.importEstimates(r.released)
+			g.importEstimates(r.handoff)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 		}
 		if n := connections(share, c.Connections()); n != m.conns {
 			m.conns = n
-			m.target.Resize(n)
+			m.target.SetMaxConnections(n)
 		}
 		kept = append(kept, m)
 	}
--- a/home/attemptend.go
+++ b/home/attemptend.go
@@ -143,7 +143,7 @@
 func (g *group) recordFailure(a *attempt, f *searcher.Failure, now time.Duration) {
 	m, t := a.member, a.task
 	switch f.Fault() {
-	case searcher.FaultNone, searcher.FaultConnection, searcher.FaultShed, searcher.FaultCold, searcher.FaultDraining, searcher.FaultSnapshot:
+	case searcher.FaultNone, searcher.FaultSilentConnection, searcher.FaultShed, searcher.FaultCold, searcher.FaultDraining, searcher.FaultSnapshot:
 	default:
 		if f.Kind() != refusal.Cancelled {
 			g.service.evidence.recordError(a.version, t.req.Route())
--- a/home/bench_test.go
+++ b/home/bench_test.go
@@ -62,7 +62,7 @@
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			fx := newFixture(fixtureSpec{seed: 1, shards: 1, replicas: n, slots: 16, daemons: 1, policy: catalogue.Current})
-			s := NewSet(WithTargets(instantTarget))
+			s := NewSet(WithTargetFactory(instantTarget))
 			defer s.Close()
 			s.Apply(NewAssignment(AssignmentSpec{Estate: fx.estate(), Shares: map[string]lease.Share{fx.group(0): lease.Full}}))
 			deadline := s.clock.Boot() + time.Hour
@@ -92,8 +92,8 @@
 		Health: func(done func(searcher.Health, *searcher.Failure)) {
 			go done(searcher.NewHealth(searcher.HealthSpec{State: searcher.Ready, Boot: "b", Labels: []shard.Label{label}}), nil)
 		},
-		Resize: func(int) {},
-		Open:   func() int { return 0 },
-		Close:  func() {},
+		SetMaxConnections: func(int) {},
+		OpenConnections:   func() int { return 0 },
+		Close:             func() {},
 	})
 }
--- a/home/counters_test.go
+++ b/home/counters_test.go
@@ -25,7 +25,7 @@
 // that are not counted, and hedges or retries that are counted although they
 // were cancelled before their first byte.
 func TestSendCounters(t *testing.T) {
-	sent, hedges, retries := meter.Value("home.sent"), meter.Value("home.hedge.sent"), retryCount()
+	sent, hedges, retries := meter.CounterValue("home.sent"), meter.CounterValue("home.hedge.sent"), retryCount()
 	fx := newErrorFixture(1, 0.1, 0)
 	fx.fakes["s00-0"].slowdown = 10
 	fx.load(0.3, 10*time.Second)
@@ -35,7 +35,7 @@
 		ran += f.ran
 	}
 	_, extra := fx.budgetTotals()
-	sent, hedges, retries = meter.Value("home.sent")-sent, meter.Value("home.hedge.sent")-hedges, retryCount()-retries
+	sent, hedges, retries = meter.CounterValue("home.sent")-sent, meter.CounterValue("home.hedge.sent")-hedges, retryCount()-retries
 	if int(sent) != ran || hedges == 0 || retries == 0 || hedges+retries != extra {
 		t.Errorf("%d sends counted, %d ran; %d hedges and %d retries counted, %d tokens spent", sent, ran, hedges, retries, extra)
 	}
--- a/home/dispatch.go
+++ b/home/dispatch.go
@@ -136,18 +136,18 @@
 func (g *group) newCall(a *attempt, end time.Duration) searcher.Call {
 	req := a.task.req
 	return searcher.NewCall(searcher.CallSpec{
-		ID:        req.ID(),
-		Shard:     g.shard,
-		Route:     req.Route(),
-		Snapshot:  req.Snapshot(),
-		Limit:     req.Limit(),
-		Announced: a.member.label(req.Snapshot()),
-		Deadline:  min(a.task.deadline, end),
-		Run:       !req.Idempotent(),
-		Body:      req.Body(),
-		Patience:  g.patience(a.task),
-		Permit:    func() *refusal.Error { return g.authorizeSend(a) },
-		OnSilent:  func() { g.handleSilent(a) },
+		ID:            req.ID(),
+		Shard:         g.shard,
+		Route:         req.Route(),
+		Snapshot:      req.Snapshot(),
+		Limit:         req.Limit(),
+		ExpectedLabel: a.member.label(req.Snapshot()),
+		Deadline:      min(a.task.deadline, end),
+		Run:           !req.Idempotent(),
+		Body:          req.Body(),
+		Patience:      g.patience(a.task),
+		Permit:        func() *refusal.Error { return g.authorizeSend(a) },
+		OnSilent:      func() { g.handleSilent(a) },
 	})
 }
 
--- a/home/fake_test.go
+++ b/home/fake_test.go
@@ -69,11 +69,11 @@
 
 func (f *fake) target() *searcher.Target {
 	return searcher.NewTarget(searcher.TargetSpec{
-		Send:   f.send,
-		Health: f.health,
-		Resize: func(int) {},
-		Open:   func() int { return f.running },
-		Close:  func() {},
+		Send:              f.send,
+		Health:            f.health,
+		SetMaxConnections: func(int) {},
+		OpenConnections:   func() int { return f.running },
+		Close:             func() {},
 	})
 }
 
@@ -121,7 +121,7 @@
 	return func() {
 		fault := searcher.FaultSilent
 		if fc.probed {
-			fault, f.staleConnections = searcher.FaultConnection, false
+			fault, f.staleConnections = searcher.FaultSilentConnection, false
 		}
 		f.clk.AfterFunc(f.netDelay, func() {
 			fc.stop()
--- a/home/fixture_test.go
+++ b/home/fixture_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestMain(m *testing.M) {
-	invariant.FatalInTests()
+	invariant.PanicOnViolation()
 	m.Run()
 }
 
@@ -69,8 +69,8 @@
 				}
 				return fx.lease
 			}),
-			WithCrash(func(f uint64) { fx.crashes <- f }),
-			WithTargets(func(s *catalogue.Searcher) *searcher.Target {
+			WithCrashHandler(func(f uint64) { fx.crashes <- f }),
+			WithTargetFactory(func(s *catalogue.Searcher) *searcher.Target {
 				f := fx.fakes[s.Name()]
 				if f == nil {
 					f = newFake(fx.clk, fx.rng, s, fx.runs)
--- a/home/released.go
+++ b/home/handoff.go
@@ -39,21 +39,21 @@
 // ColdLimit is the limit of requests in flight during the cold start; 0 when warm.
 func (e Estimate) ColdLimit() int { return e.spec.ColdLimit }
 
-// Released confirms that a daemon no longer sends to a group, and carries its
+// Handoff confirms that a daemon no longer sends to a group, and carries its
 // estimates of the group's searchers.
-type Released struct {
+type Handoff struct {
 	group     string
 	searchers []Estimate
 }
 
-// NewReleased returns a Released of the group.
-func NewReleased(group string, searchers []Estimate) Released {
-	return Released{group: group, searchers: searchers}
+// NewHandoff returns a Handoff of the group.
+func NewHandoff(group string, searchers []Estimate) Handoff {
+	return Handoff{group: group, searchers: searchers}
 }
 
 // Group is the id of the group.
-func (r Released) Group() string { return r.group }
+func (h Handoff) Group() string { return h.group }
 
 // Searchers returns the estimates of the group's searchers; empty when the
 // daemon was not home of the group.
-func (r Released) Searchers() []Estimate { return r.searchers }
+func (h Handoff) Searchers() []Estimate { return h.searchers }
--- a/home/imported.go
+++ b/home/imported.go
@@ -10,6 +10,6 @@
 // importedEstimates holds the estimates of a previous home that arrived before
 // the assignment of the group.
 type importedEstimates struct {
-	released Released
-	at       time.Duration
+	handoff Handoff
+	at      time.Duration
 }
--- a/home/options.go
+++ b/home/options.go
@@ -19,9 +19,9 @@
 // WithClock sets the clock; the default is the system clock.
 func WithClock(c clock.Clock) SetOption { return func(s *Set) { s.clock = c } }
 
-// WithTargets replaces the HTTP adapter. newTarget returns the Target of a
-// searcher; it opens no connections before its first Resize.
-func WithTargets(newTarget func(*catalogue.Searcher) *searcher.Target) SetOption {
+// WithTargetFactory replaces the HTTP adapter. newTarget returns the Target of a
+// searcher; it opens no connections before its first SetMaxConnections.
+func WithTargetFactory(newTarget func(*catalogue.Searcher) *searcher.Target) SetOption {
 	return func(s *Set) { s.newTarget = newTarget }
 }
 
@@ -29,9 +29,9 @@
 // a reading of clock.Clock.Boot. It is called immediately before each send.
 func WithLeaseEnd(end func() time.Duration) SetOption { return func(s *Set) { s.leaseEnd = end } }
 
-// WithCrash sets a callback that receives the fingerprint of each request that
-// crashed a searcher. It runs in its own goroutine.
-func WithCrash(onCrash func(fingerprint uint64)) SetOption {
+// WithCrashHandler sets a callback that receives the fingerprint of each request
+// that crashed a searcher. It runs in its own goroutine.
+func WithCrashHandler(onCrash func(fingerprint uint64)) SetOption {
 	return func(s *Set) { s.onCrash = onCrash }
 }
 
--- a/home/release.go
+++ b/home/release.go
@@ -10,17 +10,17 @@
 // and returns the estimates of their searchers. The result omits groups that
 // still have requests in flight when ctx ends. A group that this daemon is not
 // home of is returned without estimates.
-func (s *Set) Release(ctx context.Context, groups []string) []Released {
+func (s *Set) Release(ctx context.Context, groups []string) []Handoff {
 	for _, id := range groups {
 		if g := s.group(id); g != nil {
 			g.release()
 		}
 	}
-	var out []Released
+	var out []Handoff
 	for _, id := range groups {
 		g := s.group(id)
 		if g == nil {
-			out = append(out, NewReleased(id, nil))
+			out = append(out, NewHandoff(id, nil))
 			continue
 		}
 		if g.waitDrained(ctx) {
@@ -51,14 +51,14 @@
 // ImportEstimates initializes the group's latency and warm-up state from the
 // estimates of the previous home. It may be called before the assignment that
 // makes this daemon the home.
-func (s *Set) ImportEstimates(group string, r Released) {
+func (s *Set) ImportEstimates(group string, h Handoff) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g := s.groups[group]; g != nil {
-		g.importEstimates(r)
+		g.importEstimates(h)
 		return
 	}
-	s.imported[group] = importedEstimates{released: r, at: s.clock.Boot()}
+	s.imported[group] = importedEstimates{handoff: h, at: s.clock.Boot()}
 }
 
 // release stops the group before the assignment removes it.
@@ -133,21 +133,21 @@
 	return g.closed
 }
 
-func (g *group) exportEstimates() Released {
+func (g *group) exportEstimates() Handoff {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	estimates := make([]Estimate, 0, len(g.members))
 	for _, m := range g.members {
 		estimates = append(estimates, m.exportEstimate())
 	}
-	return NewReleased(g.id, estimates)
+	return NewHandoff(g.id, estimates)
 }
 
-func (g *group) importEstimates(r Released) {
+func (g *group) importEstimates(h Handoff) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.set.clock.Boot()
-	for _, e := range r.Searchers() {
+	for _, e := range h.Searchers() {
 		for _, m := range g.members {
 			if m.spec.Name() == e.Name() && m.spec.Address() == e.Address() {
 				m.importEstimate(now, e)
--- a/home/set.go
+++ b/home/set.go
@@ -50,7 +50,7 @@
 	}
 	if s.newTarget == nil {
 		s.newTarget = func(t *catalogue.Searcher) *searcher.Target {
-			return searcher.NewTargetOf(t, searcher.WithClock(s.clock))
+			return searcher.NewHTTPTarget(t, searcher.WithClock(s.clock))
 		}
 	}
 	return s
--- a/home/status.go
+++ b/home/status.go
@@ -27,8 +27,8 @@
 // Limit is the current limit of requests in flight.
 func (s SearcherStatus) Limit() int { return s.limit }
 
-// Open is the number of open connections to the searcher.
-func (s SearcherStatus) Open() int { return s.open }
+// OpenConnections is the number of open connections to the searcher.
+func (s SearcherStatus) OpenConnections() int { return s.open }
 
 // Latency is the expected service time.
 func (s SearcherStatus) Latency() time.Duration { return s.latency }
@@ -72,7 +72,7 @@
 	for _, m := range g.members {
 		st.searchers = append(st.searchers, SearcherStatus{
 			name: m.spec.Name(), state: m.state(), version: m.reportedVersion,
-			inflight: m.inflight, limit: m.limit(g.share), open: m.target.Open(),
+			inflight: m.inflight, limit: m.limit(g.share), open: m.target.OpenConnections(),
 			latency: time.Duration(m.latency.current(now, g.medianLatency)),
 		})
 	}
--- a/invariant/check.go
+++ b/invariant/check.go
@@ -11,21 +11,21 @@
 // Name identifies one invariant in counters and logs.
 type Name string
 
-var fatal atomic.Bool
+var panicOnViolation atomic.Bool
 
-// FatalInTests makes every violation panic. Test binaries call it in TestMain or init.
+// PanicOnViolation makes every violation panic. Test binaries call it in TestMain or init.
 // Randomised runs enable it through the daemon's environment.
-func FatalInTests() { fatal.Store(true) }
+func PanicOnViolation() { panicOnViolation.Store(true) }
 
 // Check counts and logs a violation of the invariant if ok is false, or panics after
-// FatalInTests. format and args describe the violating state. Check returns ok.
+// PanicOnViolation. format and args describe the violating state. Check returns ok.
 func Check(name Name, ok bool, format string, args ...any) bool {
 	if ok {
 		return true
 	}
 	metrics.GetOrRegisterCounter("invariant."+string(name), metrics.DefaultRegistry).Inc(1)
 	detail := fmt.Sprintf(format, args...)
-	if fatal.Load() {
+	if panicOnViolation.Load() {
 		panic("invariant " + string(name) + ": " + detail)
 	}
 	log.Error().Str("invariant", string(name)).Str("detail", detail).Msg("invariant violated")
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -12,8 +12,8 @@
 	metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Inc(n)
 }
 
-// Value returns the value of the counter with the given name.
-func Value(name string) int64 {
+// CounterValue returns the value of the counter with the given name.
+func CounterValue(name string) int64 {
 	return metrics.GetOrRegisterCounter(name, metrics.DefaultRegistry).Count()
 }
 
--- a/meter/sample.go
+++ b/meter/observe.go
@@ -14,18 +14,18 @@
 	sampleDecay = 0.015
 )
 
-// Sample adds v to the histogram with the given name.
-func Sample(name string, v int64) {
+// ObserveValue adds v to the histogram with the given name.
+func ObserveValue(name string, v int64) {
 	metrics.DefaultRegistry.GetOrRegister(name, newHistogram).(metrics.Histogram).Update(v)
 }
 
-// Latency adds d to the histogram with the given name, in microseconds.
-func Latency(name string, d time.Duration) { Sample(name, d.Microseconds()) }
+// ObserveLatency adds d to the histogram with the given name, in microseconds.
+func ObserveLatency(name string, d time.Duration) { ObserveValue(name, d.Microseconds()) }
 
 func newHistogram() metrics.Histogram {
 	return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleDecay))
 }
 
-// Forget removes the metric with the given name, for example when a route is
+// Unregister removes the metric with the given name, for example when a route is
 // removed.
-func Forget(name string) { metrics.DefaultRegistry.Unregister(name) }
+func Unregister(name string) { metrics.DefaultRegistry.Unregister(name) }
--- a/meter/text_test.go
+++ b/meter/text_test.go
@@ -15,7 +15,7 @@
 	Count("test.requests.rights-ledger", 3)
 	Gauge("test.in_flight", 7)
 	for ms := range 100 {
-		Latency("test.latency", time.Duration(ms)*time.Millisecond)
+		ObserveLatency("test.latency", time.Duration(ms)*time.Millisecond)
 	}
 	var out strings.Builder
 	if err := WriteText(&out); err != nil {
--- a/move/controller.go
+++ b/move/controller.go
@@ -39,9 +39,10 @@
 // ControllerOption configures a Controller made by NewController.
 type ControllerOption func(*Controller)
 
-// WithHolds sets the check whether this daemon still holds the controller role.
-// The check runs immediately before each write. By default it always succeeds.
-func WithHolds(holdsRole func() bool) ControllerOption {
+// WithLeadershipCheck sets the check whether this daemon is still the leader, which
+// holds the controller role. The check runs immediately before each write. By default
+// it always succeeds.
+func WithLeadershipCheck(holdsRole func() bool) ControllerOption {
 	return func(c *Controller) { c.holdsRole = holdsRole }
 }
 
@@ -84,9 +85,9 @@
 	c.deltas.expire(now)
 }
 
-// Stopped records that a daemon stopped the new version of a move by its own
+// RecordStop records that a daemon stopped the new version of a move by its own
 // evidence. The next Step rolls the move back.
-func (c *Controller) Stopped(service, move, to, reason string) {
+func (c *Controller) RecordStop(service, move, to, reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a, ok := c.active[Key(service, move)]
--- a/move/controller_test.go
+++ b/move/controller_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) {
 	zerolog.SetGlobalLevel(zerolog.Disabled)
-	invariant.FatalInTests()
+	invariant.PanicOnViolation()
 	os.Exit(m.Run())
 }
 
@@ -101,7 +101,7 @@
 		}
 		f.Observe(all)
 		for _, stop := range f.Stops() {
-			r.ctl.Stopped(stop.Service(), stop.Move(), stop.To(), stop.Reason())
+			r.ctl.RecordStop(stop.Service(), stop.Move(), stop.To(), stop.Reason())
 		}
 		r.ctl.Report(fmt.Sprint(i), all)
 	}
--- a/move/state.go
+++ b/move/state.go
@@ -44,9 +44,9 @@
 	return State{service: service, move: m.Name(), from: m.From(), to: m.To(), phase: Pending}
 }
 
-// FromShare returns the State that a controller announced in a peer message. It
+// StateFromProto returns the State that a controller announced in a peer message. It
 // lacks the token and the number of counted requests.
-func FromShare(in *peerpb.MoveShare) State {
+func StateFromProto(in *peerpb.MoveShare) State {
 	return State{
 		service: in.GetService(), move: in.GetMove(), from: in.GetFrom(), to: in.GetTo(),
 		phase: Phase(in.GetState()), step: in.GetStep(), share: in.GetShare(),
@@ -54,8 +54,8 @@
 	}
 }
 
-// ToShare returns the peer message that announces the state to daemons.
-func (s State) ToShare() *peerpb.MoveShare {
+// ToProto returns the peer message that announces the state to daemons.
+func (s State) ToProto() *peerpb.MoveShare {
 	return &peerpb.MoveShare{
 		Service: s.service, Move: s.move, From: s.from, To: s.to,
 		State: string(s.phase), Step: s.step, Share: s.share,
--- a/node/apply.go
+++ b/node/apply.go
@@ -65,7 +65,7 @@
 			g.Update(nil) // Requests in progress are still answered.
 		}
 	}
-	d.groups, d.table, d.usedServices = groups, t, t.Used()
+	d.groups, d.table, d.usedServices = groups, t, t.UsedServices()
 	d.resizeGroups()
 	return true
 }
@@ -73,7 +73,7 @@
 func (d *Daemon) newGroup(service string) *targets.Group {
 	return targets.NewGroup(service, platform.TargetProtocol(),
 		targets.Clock(d.clock), targets.PreferDomain(d.settings.Domain()), targets.Log(d.log),
-		targets.OnCrash(d.engine.Crashed), targets.ReportTo(d.reports),
+		targets.OnCrash(d.engine.RecordCrash), targets.ReportTo(d.reports),
 		targets.Dial(func(ctx context.Context, address string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "tcp4", address)
 		}))
@@ -122,6 +122,6 @@
 		s := d.table.Service(name)
 		share := int(usableConnectionFraction * float64(s.MaxConnections()) / float64(n))
 		cold := targets.NewColdLimits(s.WarmUpRate(), d.settings.ColdOvershoot(), d.settings.ColdSlack(), n, index)
-		g.Resize(targets.NewSizing(share, cold, budget, d.usedServices[name] && preconnect))
+		g.Resize(targets.NewGroupLimits(share, cold, budget, d.usedServices[name] && preconnect))
 	}
 }
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -111,9 +111,9 @@
 	for _, name := range append([]string{"cards"}, c.shards...) {
 		cfg.Service(name, 50)
 	}
-	cfg.Route("match", "songs.example", prefix, 5*time.Second, 2*time.Second, platformtest.Shards(c.shards, 10, 0.9))
+	cfg.Route("match", "songs.example", prefix, 5*time.Second, 2*time.Second, platformtest.Sharded(c.shards, 10, 0.9))
 	cfg.Route("card", "songs.example", "/card/", 5*time.Second, 2*time.Second,
-		platformtest.Single("cards"), platformtest.Once(), platformtest.MaxTargets(1))
+		platformtest.SingleService("cards"), platformtest.NonIdempotent(), platformtest.MaxTargets(1))
 	c.store.Put(platform.KindConfig, "main", cfg.Object())
 }
 
--- a/node/moves.go
+++ b/node/moves.go
@@ -41,7 +41,7 @@
 		if !seen[service] {
 			delete(d.moves, service)
 			if g := d.groups[service]; g != nil {
-				g.Move("", 0)
+				g.SetVersionShare("", 0)
 			}
 		}
 	}
@@ -81,11 +81,11 @@
 			}
 		}
 	}
-	next := upgrade.Next(m.state, elapsed, o.Duration(), oldTally, newTally)
+	next := upgrade.NextState(m.state, elapsed, o.Duration(), oldTally, newTally)
 	if next == upgrade.Completed && o.State() != upgrade.Completed {
 		// The old targets stop once the state is published; until then the new
 		// version keeps its share.
-		g.Move(o.Version(), upgrade.Share(upgrade.Running, elapsed, o.Duration()))
+		g.SetVersionShare(o.Version(), upgrade.Share(upgrade.Running, elapsed, o.Duration()))
 		return next
 	}
 	if next != m.state {
@@ -94,7 +94,7 @@
 			Int("new_requests", newTally.Requests()).Int("new_bad", newTally.Bad()).Dur("elapsed", elapsed).Msg("move changes its state")
 		m.state = next
 	}
-	g.Move(o.Version(), upgrade.Share(m.state, elapsed, o.Duration()))
+	g.SetVersionShare(o.Version(), upgrade.Share(m.state, elapsed, o.Duration()))
 	return m.state
 }
 
--- a/once/outcome.go
+++ b/once/outcome.go
@@ -17,7 +17,7 @@
 
 // Refused returns the Outcome of a request that failed with err.
 func Refused(err error) Outcome {
-	e := refusal.Of(err)
+	e := refusal.FromError(err)
 	return Outcome{kind: e.Kind(), ran: e.Ran(), detail: e.Detail()}
 }
 
--- a/once/table_test.go
+++ b/once/table_test.go
@@ -12,7 +12,7 @@
 	"medlaryard.example/medlaryard/refusal"
 )
 
-func init() { invariant.FatalInTests() }
+func init() { invariant.PanicOnViolation() }
 
 // Guards against an identifier that is Fresh twice within the window, an outcome that
 // changes, a barred identifier that runs, and a table with more records than its
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -103,7 +103,7 @@
 	} {
 		m := good()
 		c.change(m)
-		if _, err := Requests(m, 0); err == nil || refusal.Of(err).Kind() != c.kind {
+		if _, err := Requests(m, 0); err == nil || refusal.FromError(err).Kind() != c.kind {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -149,7 +149,7 @@
 	address := serveHandlers(t, Handlers{Outcome: large}, WithKey("k"))
 	c := NewClient(WithMaxMessage(1000), WithKey("k"))
 	defer c.Close()
-	if _, err := c.Outcome(context.Background(), address, &peerpb.OutcomeRequest{}); err == nil || refusal.Of(err).Ran() != refusal.Unknown {
+	if _, err := c.Outcome(context.Background(), address, &peerpb.OutcomeRequest{}); err == nil || refusal.FromError(err).Ran() != refusal.Unknown {
 		t.Errorf("large reply: %v", err)
 	}
 	if _, err := c.Report(context.Background(), address, &peerpb.ReportRequest{}); err == nil {
@@ -161,7 +161,7 @@
 	}
 	_ = l.Close()
 	_, err = c.Report(context.Background(), l.Addr().String(), &peerpb.ReportRequest{})
-	if err == nil || refusal.Of(err).Kind() != refusal.HomeUnreachable || refusal.Of(err).Ran() != refusal.NotRun {
+	if err == nil || refusal.FromError(err).Kind() != refusal.HomeUnreachable || refusal.FromError(err).Ran() != refusal.NotRun {
 		t.Errorf("no listener: %v", err)
 	}
 }
@@ -191,7 +191,7 @@
 	ctx, cancel := clock.WithDeadline(context.Background(), clk, clk.Boot()+50*time.Millisecond)
 	_, err = c.Strike(ctx, l.Addr().String(), &peerpb.StrikeRequest{})
 	cancel()
-	if err == nil || refusal.Of(err).Ran() != refusal.Unknown {
+	if err == nil || refusal.FromError(err).Ran() != refusal.Unknown {
 		t.Errorf("silent connection: %v", err)
 	}
 	if _, err = c.Strike(context.Background(), l.Addr().String(), &peerpb.StrikeRequest{}); err != nil {
--- a/query/cluster_test.go
+++ b/query/cluster_test.go
@@ -54,7 +54,7 @@
 	}, opts...)
 	c.route = route.New("match", "songs.example", "/match/", opts...)
 	c.table = route.NewTable(1, []*route.Route{c.route}, services, route.Limits{})
-	c.engine = query.NewEngine(query.Stamp(platform.Stamp), query.Clock(simulatedClock{}))
+	c.engine = query.NewEngine(query.Stamp(platform.ResponseStamp), query.Clock(simulatedClock{}))
 	c.engine.Install(c.table, c.groups)
 	time.Sleep(100 * time.Millisecond) // The first connections are opened.
 	return c
@@ -62,8 +62,8 @@
 
 func (c *testCluster) addShard(name string, b shards.Behaviour) {
 	g := targets.NewGroup(name, platform.TargetProtocol(), targets.Dial(c.emulator.Dial), targets.PreferDomain("a"), targets.Clock(simulatedClock{}),
-		targets.OnCrash(func(fingerprint uint64) { c.engine.Crashed(fingerprint) }))
-	g.Resize(targets.NewSizing(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
+		targets.OnCrash(func(fingerprint uint64) { c.engine.RecordCrash(fingerprint) }))
+	g.Resize(targets.NewGroupLimits(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
 	var entries []targets.Entry
 	for i, domain := range []string{"a", "b"} {
 		e := c.emulator.Add(fmt.Sprintf("%s-%d", name, i), b)
@@ -78,7 +78,7 @@
 func (c *testCluster) setCold(name string, d time.Duration) {
 	var entries []targets.Entry
 	for _, tgt := range c.targets[name] {
-		entries = append(entries, targets.NewEntry(tgt.ID(), name, tgt.Address(), targets.Domain("a", "r"), targets.Slots(2), targets.WarmLeft(d)))
+		entries = append(entries, targets.NewEntry(tgt.ID(), name, tgt.Address(), targets.Domain("a", "r"), targets.Slots(2), targets.WarmUpLeft(d)))
 	}
 	c.groups[name].Update(entries)
 }
--- a/query/cold_test.go
+++ b/query/cold_test.go
@@ -17,7 +17,7 @@
 		defer c.close()
 		limits := targets.NewColdLimits(4, 1.5, 5, 1, 0)
 		for _, name := range []string{"shard0", "shard1", "shard2", "shard3"} {
-			c.groups[name].Resize(targets.NewSizing(3, limits, targets.NewBudgetLimits(0.2, 54, 1), true))
+			c.groups[name].Resize(targets.NewGroupLimits(3, limits, targets.NewBudgetLimits(0.2, 54, 1), true))
 			c.setCold(name, time.Minute)
 		}
 		replies := c.load(15, 10*time.Second)
--- a/query/engine.go
+++ b/query/engine.go
@@ -93,7 +93,7 @@
 	for name := range e.stats {
 		if !t.HasRoute(name) {
 			delete(e.stats, name)
-			meter.Forget(latencyMetric(name))
+			meter.Unregister(latencyMetric(name))
 		}
 	}
 	e.mu.Unlock()
@@ -137,13 +137,13 @@
 	poisonedRetryAfter = time.Second
 )
 
-// Crashed records that a target crashed while it worked on the request with the
-// given fingerprint.
-func (e *Engine) Crashed(fingerprint uint64) {
+// RecordCrash records that a target crashed while it worked on the request with
+// the given fingerprint.
+func (e *Engine) RecordCrash(fingerprint uint64) {
 	switch {
 	case e.suspects.Crashes(fingerprint) == 0:
 		e.suspects.RecordCrash(fingerprint)
-	case e.suspects.Age(fingerprint) > crashWindow:
+	case e.suspects.SinceLastCrash(fingerprint) > crashWindow:
 		e.suspects.RecordRepeatCrash(fingerprint)
 	}
 	e.log.Warn().Uint64("fingerprint", fingerprint).Int("crashes", e.suspects.Crashes(fingerprint)).
@@ -179,7 +179,7 @@
 // logged.
 func (e *Engine) recordOutcome(r *run, a Answer, version uint64) {
 	took := e.clock.Now().Sub(r.started)
-	meter.Latency(latencyMetric(r.route.Name()), took)
+	meter.ObserveLatency(latencyMetric(r.route.Name()), took)
 	outcome, missing := "answered", 0
 	switch {
 	case a.refusal != nil:
--- a/refusal/answer.go
+++ b/refusal/answer.go
@@ -64,13 +64,13 @@
 // Table returns one Answer for each Kind except None.
 func Table() []Answer { return append([]Answer(nil), table...) }
 
-// For returns the Answer of kind. For a kind that is not in the table, such as one
+// AnswerFor returns the Answer of kind. For a kind that is not in the table, such as one
 // from a newer daemon, it returns the Answer of Internal.
-func For(kind Kind) Answer {
+func AnswerFor(kind Kind) Answer {
 	for _, a := range table {
 		if a.kind == kind {
 			return a
 		}
 	}
-	return For(Internal)
+	return AnswerFor(Internal)
 }
--- a/refusal/error.go
+++ b/refusal/error.go
@@ -15,7 +15,7 @@
 // New returns an Error of kind with the formatted detail and the Ran of the kind's
 // Answer.
 func New(kind Kind, format string, args ...any) *Error {
-	return &Error{kind: kind, ran: For(kind).Ran(), detail: fmt.Sprintf(format, args...)}
+	return &Error{kind: kind, ran: AnswerFor(kind).Ran(), detail: fmt.Sprintf(format, args...)}
 }
 
 // WithRan returns a copy of e with ran, for a caller that knows more about the request
@@ -36,8 +36,8 @@
 // Error returns the kind and the detail.
 func (e *Error) Error() string { return string(e.kind) + ": " + e.detail }
 
-// Of returns the Error in err's chain, or an Error of kind Internal if there is none.
-func Of(err error) *Error {
+// FromError returns the Error in err's chain, or an Error of kind Internal if there is none.
+func FromError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
 		return e
--- a/route/table.go
+++ b/route/table.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Used returns the set of names of services that at least one route uses.
-func (t *Table) Used() map[string]bool {
+// UsedServices returns the set of names of services that at least one route uses.
+func (t *Table) UsedServices() map[string]bool {
 	used := make(map[string]bool)
 	for _, rs := range t.hosts {
 		for _, r := range rs {
--- a/searcher/call.go
+++ b/searcher/call.go
@@ -19,8 +19,9 @@
 	Snapshot uint64
 	// Limit is the maximum number of hits; 0 leaves it to the searcher.
 	Limit int
-	// Announced is the label that the searcher announced for Snapshot; nil if unknown.
-	Announced *shard.Label
+	// ExpectedLabel is the label that the reply must have, as the searcher announced
+	// it for Snapshot; nil if unknown.
+	ExpectedLabel *shard.Label
 	// Deadline is when the call ends, as a reading of clock.Clock.Boot.
 	Deadline time.Duration
 	// Patience is how long to wait for the first byte of the reply before the
@@ -61,9 +62,9 @@
 // Limit returns the maximum number of hits; 0 leaves it to the searcher.
 func (c Call) Limit() int { return c.spec.Limit }
 
-// Announced returns the label that the searcher announced for Snapshot, or nil
-// if unknown.
-func (c Call) Announced() *shard.Label { return c.spec.Announced }
+// ExpectedLabel returns the label that the reply must have, as the searcher
+// announced it for Snapshot, or nil if unknown.
+func (c Call) ExpectedLabel() *shard.Label { return c.spec.ExpectedLabel }
 
 // Deadline returns when the call ends, as a reading of clock.Clock.Boot.
 func (c Call) Deadline() time.Duration { return c.spec.Deadline }
--- a/searcher/decode.go
+++ b/searcher/decode.go
@@ -99,7 +99,7 @@
 		return Reply{}, badReply("reply is from snapshot %d, want %d", w.Snapshot, c.Snapshot())
 	}
 	label := w.label()
-	if a := c.Announced(); a != nil && *a != label {
+	if a := c.ExpectedLabel(); a != nil && *a != label {
 		return Reply{}, badReply("reply has label %+v, searcher announced %+v", w.wireLabel, *a)
 	}
 	if len(w.Hits) > maxHits {
--- a/searcher/exchange.go
+++ b/searcher/exchange.go
@@ -152,7 +152,7 @@
 	}
 	fault := FaultSilent
 	if x.connSilent.Load() {
-		fault = FaultConnection
+		fault = FaultSilentConnection
 		meter.Count("searcher.connection.silent", 1)
 		x.h.pool.invalidate()
 	}
--- a/searcher/failure.go
+++ b/searcher/failure.go
@@ -17,5 +17,5 @@
 // Fault returns what the failure implies about the searcher.
 func (f *Failure) Fault() Fault { return f.fault }
 
-// Unwrap returns the refusal, so that refusal.Of finds it.
+// Unwrap returns the refusal, so that refusal.FromError finds it.
 func (f *Failure) Unwrap() error { return f.Error }
--- a/searcher/fault.go
+++ b/searcher/fault.go
@@ -32,9 +32,9 @@
 	// FaultSilent means that the call ended, by its deadline or a cancellation,
 	// before a complete reply arrived.
 	FaultSilent
-	// FaultConnection is FaultSilent when the searcher answered over a new
-	// connection in the meantime.
-	FaultConnection
+	// FaultSilentConnection is FaultSilent when the searcher answered over a new
+	// connection in the meantime, so that only the connection was silent.
+	FaultSilentConnection
 )
 
 var faultNames = [...]string{
--- a/searcher/http.go
+++ b/searcher/http.go
@@ -44,7 +44,7 @@
 }
 
 // NewHTTP returns an adapter for the searcher at address. It may not open any
-// connection until Target.Resize sets a limit above 0.
+// connection until Target.SetMaxConnections sets a limit above 0.
 func NewHTTP(address string, opts ...HTTPOption) *HTTP {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	h := &HTTP{
@@ -62,19 +62,19 @@
 	return h
 }
 
-// NewTargetOf returns a Target that speaks HTTP/1.1 to the searcher s.
-func NewTargetOf(s *catalogue.Searcher, opts ...HTTPOption) *Target {
+// NewHTTPTarget returns a Target that speaks HTTP/1.1 to the searcher s.
+func NewHTTPTarget(s *catalogue.Searcher, opts ...HTTPOption) *Target {
 	return NewHTTP(s.Address(), opts...).Target()
 }
 
 // Target returns a Target that is backed by h.
 func (h *HTTP) Target() *Target {
 	return NewTarget(TargetSpec{
-		Send:   h.send,
-		Health: h.health,
-		Resize: h.pool.resize,
-		Open:   h.pool.size,
-		Close:  h.pool.close,
+		Send:              h.send,
+		Health:            h.health,
+		SetMaxConnections: h.pool.resize,
+		OpenConnections:   h.pool.size,
+		Close:             h.pool.close,
 	})
 }
 
--- a/searcher/http_test.go
+++ b/searcher/http_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	invariant.FatalInTests()
+	invariant.PanicOnViolation()
 	m.Run()
 }
 
@@ -147,12 +147,12 @@
 		}
 	}
 	for _, c := range []struct {
-		name      string
-		search    http.HandlerFunc
-		announced *shard.Label
-		fault     Fault
-		kind      refusal.Kind
-		ran       refusal.Ran
+		name          string
+		search        http.HandlerFunc
+		expectedLabel *shard.Label
+		fault         Fault
+		kind          refusal.Kind
+		ran           refusal.Ran
 	}{
 		{"sound", set("version", "v2"), &testLabel, FaultNone, refusal.None, ""},
 		{"other request", set("id", "q2"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
@@ -178,7 +178,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, h := newTestSearcher(t, c.search)
-			out, _ := startCall(h, CallSpec{Snapshot: 7, Announced: c.announced})
+			out, _ := startCall(h, CallSpec{Snapshot: 7, ExpectedLabel: c.expectedLabel})
 			o := <-out
 			if c.kind == refusal.None {
 				if o.failure != nil || o.reply.Label() != testLabel || o.reply.Version() != "v2" || len(o.reply.Hits()) != 1 {
@@ -262,7 +262,7 @@
 	out, cancel := startCall(h, CallSpec{Patience: time.Millisecond, OnSilent: func() { close(silent) }})
 	<-silent
 	cancel()
-	if o := <-out; o.failure == nil || o.failure.Fault() != FaultConnection {
+	if o := <-out; o.failure == nil || o.failure.Fault() != FaultSilentConnection {
 		t.Fatalf("got %+v", o.failure)
 	}
 }
@@ -302,7 +302,7 @@
 	f.Add([]byte(`{"id":"q1","shard":"s1"}`))
 	f.Add(append(valid, valid...))
 	f.Add(valid[:len(valid)/2])
-	c := NewCall(CallSpec{ID: "q1", Shard: "s1", Snapshot: 7, Announced: &testLabel})
+	c := NewCall(CallSpec{ID: "q1", Shard: "s1", Snapshot: 7, ExpectedLabel: &testLabel})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, failure := decodeReply(c, body)
 		if failure == nil && r.Label() != testLabel {
--- a/searcher/target.go
+++ b/searcher/target.go
@@ -9,10 +9,10 @@
 	Send func(c Call, done func(Reply, *Failure)) (cancel func())
 	// Health requests the health of the searcher and calls done exactly once.
 	Health func(done func(Health, *Failure))
-	// Resize sets the maximum number of connections.
-	Resize func(connections int)
-	// Open returns the number of connections open or being opened.
-	Open func() int
+	// SetMaxConnections sets the maximum number of connections.
+	SetMaxConnections func(connections int)
+	// OpenConnections returns the number of connections open or being opened.
+	OpenConnections func() int
 	// Close closes all connections; calls in progress fail.
 	Close func()
 }
@@ -35,12 +35,12 @@
 // before Health returns.
 func (t *Target) Health(done func(Health, *Failure)) { t.spec.Health(done) }
 
-// Resize sets the maximum number of connections and closes idle ones above it;
+// SetMaxConnections sets the maximum number of connections and closes idle ones above it;
 // 0 closes all idle ones.
-func (t *Target) Resize(connections int) { t.spec.Resize(connections) }
+func (t *Target) SetMaxConnections(connections int) { t.spec.SetMaxConnections(connections) }
 
-// Open returns the number of connections open or being opened.
-func (t *Target) Open() int { return t.spec.Open() }
+// OpenConnections returns the number of connections open or being opened.
+func (t *Target) OpenConnections() int { return t.spec.OpenConnections() }
 
 // Close closes all connections; calls in progress fail.
 func (t *Target) Close() { t.spec.Close() }
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -104,10 +104,10 @@
 		names = append(names, name)
 		cfg.Service(name, targetConnections)
 	}
-	sharded := platformtest.Shards(names, topRecords, float64(minShards)/shardCount)
+	sharded := platformtest.Sharded(names, topRecords, float64(minShards)/shardCount)
 	cfg.Route("match", host, "/match/", routeTimeout, routeObjective, sharded)
 	cfg.Route("extra", host, fmt.Sprintf("/extra%d/", version), routeTimeout, routeObjective, sharded)
-	cfg.Route("play", host, "/play/", routeTimeout, routeObjective, platformtest.Single("plays"), platformtest.Once())
+	cfg.Route("play", host, "/play/", routeTimeout, routeObjective, platformtest.SingleService("plays"), platformtest.NonIdempotent())
 	s.store.Put(platform.KindConfig, "main", cfg.Object())
 }
 
--- a/store/http_test.go
+++ b/store/http_test.go
@@ -126,7 +126,7 @@
 	forEachStore(t, func(t *testing.T, _ *objects.Store, s store.Store) {
 		ctx := context.Background()
 		counted := store.NewCounted(s)
-		failed, ok, missing := meter.Value("store.put.failed"), meter.Value("store.put.ok"), meter.Value("store.get.not_found")
+		failed, ok, missing := meter.CounterValue("store.put.failed"), meter.CounterValue("store.put.ok"), meter.CounterValue("store.get.not_found")
 		if _, err := counted.Put(ctx, "big", make([]byte, store.MaxValueBytes+1), store.Any); err == nil {
 			t.Error("a value above the limit was accepted")
 		}
@@ -135,8 +135,8 @@
 			t.Errorf("value of the maximum size: %d bytes returned, error %v", len(o.Value()), err)
 		}
 		_, _ = counted.Get(ctx, "absent")
-		if meter.Value("store.put.failed") != failed+1 || meter.Value("store.put.ok") != ok+1 ||
-			meter.Value("store.get.not_found") != missing+1 {
+		if meter.CounterValue("store.put.failed") != failed+1 || meter.CounterValue("store.put.ok") != ok+1 ||
+			meter.CounterValue("store.get.not_found") != missing+1 {
 			t.Error("calls were not counted by outcome")
 		}
 	})
--- a/targets/answer.go
+++ b/targets/answer.go
@@ -52,7 +52,7 @@
 		fasthttp.ReleaseResponse(resp)
 		return false
 	}
-	outcome, matches := g.protocol.Judge(resp, c.req)
+	outcome, matches := g.protocol.Classify(resp, c.req)
 	if !matches {
 		meter.Count("target.answer.foreign", 1)
 		conn.desynchronized = true
--- a/targets/cold_test.go
+++ b/targets/cold_test.go
@@ -35,8 +35,8 @@
 				for position := range c.daemons {
 					g := targets.NewGroup("s", platform.TargetProtocol(), targets.Dial(e.Dial))
 					limits := targets.NewColdLimits(c.rate, coldOvershoot, coldSlack, c.daemons, position)
-					g.Resize(targets.NewSizing(2, limits, targets.NewBudgetLimits(0.2, 54, c.daemons), true))
-					g.Update([]targets.Entry{targets.NewEntry("cold", "s", cold.Address(), targets.Slots(2), targets.WarmLeft(time.Hour))})
+					g.Resize(targets.NewGroupLimits(2, limits, targets.NewBudgetLimits(0.2, 54, c.daemons), true))
+					g.Update([]targets.Entry{targets.NewEntry("cold", "s", cold.Address(), targets.Slots(2), targets.WarmUpLeft(time.Hour))})
 					groups = append(groups, g)
 				}
 				defer func() {
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(0, behaviour())
 		defer f.close()
-		f.addTarget(behaviour(), targets.WarmLeft(time.Minute))
+		f.addTarget(behaviour(), targets.WarmUpLeft(time.Minute))
 		f.resize(4)
 		f.group.Update(f.entries)
 		time.Sleep(time.Second)
--- a/targets/dispatch.go
+++ b/targets/dispatch.go
@@ -150,7 +150,7 @@
 	conn.call = c
 	conn.used = true
 	t.calls = append(t.calls, c)
-	b := g.protocol.Append(nil, c.req, t.entry.id, max(left, time.Millisecond))
+	b := g.protocol.AppendRequest(nil, c.req, t.entry.id, max(left, time.Millisecond))
 	large := len(c.req.body) >= largeBodyBytes
 	conn.writing = large
 	return pendingWrite{conn: conn, bytes: b, large: large}
--- a/targets/entry.go
+++ b/targets/entry.go
@@ -9,16 +9,16 @@
 
 // Entry is the platform's directory entry of one running target.
 type Entry struct {
-	id        string
-	startedAt int64
-	service   string
-	address   string
-	domain    string
-	region    string
-	version   string
-	slots     int
-	draining  bool
-	warmLeft  time.Duration
+	id         string
+	startedAt  int64
+	service    string
+	address    string
+	domain     string
+	region     string
+	version    string
+	slots      int
+	draining   bool
+	warmUpLeft time.Duration
 }
 
 // NewEntry returns the entry of the target with the given ID. It has one slot
@@ -83,5 +83,5 @@
 // Draining marks the target as draining; it gets no new requests.
 func Draining() EntryOption { return func(e *Entry) { e.draining = true } }
 
-// WarmLeft sets the remaining time for which the target is cold.
-func WarmLeft(d time.Duration) EntryOption { return func(e *Entry) { e.warmLeft = d } }
+// WarmUpLeft sets the remaining time for which the target is cold.
+func WarmUpLeft(d time.Duration) EntryOption { return func(e *Entry) { e.warmUpLeft = d } }
--- a/targets/group.go
+++ b/targets/group.go
@@ -91,10 +91,10 @@
 		if t == nil {
 			t = &Target{group: g, id: e.id, address: e.address, fingerprint: e.fingerprint(), entry: e}
 			g.log.Info().Str("service", g.service).Str("target", e.id).Str("address", e.address).
-				Dur("cold_for", e.warmLeft).Msg("target added")
+				Dur("cold_for", e.warmUpLeft).Msg("target added")
 		}
-		if e.warmLeft > 0 {
-			t.coldUntil = now.Add(e.warmLeft)
+		if e.warmUpLeft > 0 {
+			t.coldUntil = now.Add(e.warmUpLeft)
 		}
 		t.entry = e
 		kept = append(kept, t)
--- a/targets/group_test.go
+++ b/targets/group_test.go
@@ -35,7 +35,7 @@
 }
 
 func (f *fixture) resize(coldRate float64) {
-	f.group.Resize(targets.NewSizing(3, targets.NewColdLimits(coldRate, 1.5, 5, 1, 0), targets.NewBudgetLimits(0.2, 54, 1), true))
+	f.group.Resize(targets.NewGroupLimits(3, targets.NewColdLimits(coldRate, 1.5, 5, 1, 0), targets.NewBudgetLimits(0.2, 54, 1), true))
 }
 
 func (f *fixture) addTarget(b shards.Behaviour, opts ...targets.EntryOption) {
@@ -81,7 +81,7 @@
 		defer f.close()
 		f.addTarget(behaviour(), targets.Version("v2"))
 		f.group.Update(f.entries)
-		f.group.Move("v2", 0.1)
+		f.group.SetVersionShare("v2", 0.1)
 		for i := range 200 {
 			f.send(fmt.Sprintf("q%d", i), true)
 		}
@@ -89,14 +89,14 @@
 		if got < 19 || got > 20 {
 			t.Errorf("the new version got %d of 200 requests, want 20 at most and no more than one less", got)
 		}
-		f.group.Move("v2", 0)
+		f.group.SetVersionShare("v2", 0)
 		for i := range 50 {
 			f.send(fmt.Sprintf("r%d", i), true)
 		}
 		if n := len(f.targets[2].Runs()) - got; n != 0 {
 			t.Errorf("the new version got %d more requests after its share ended", n)
 		}
-		f.group.Move("v2", 1)
+		f.group.SetVersionShare("v2", 1)
 		for i := range 50 {
 			f.send(fmt.Sprintf("s%d", i), true)
 		}
@@ -116,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(1, behaviour())
 		defer f.close()
-		f.addTarget(behaviour(), targets.WarmLeft(5*time.Second))
+		f.addTarget(behaviour(), targets.WarmUpLeft(5*time.Second))
 		f.resize(4)
 		f.group.Update(f.entries)
 		for second := range 4 {
--- a/targets/move.go
+++ b/targets/move.go
@@ -45,9 +45,10 @@
 	}
 }
 
-// Move sends the given share of the requests, from 0 to 1, to the targets of a
-// version and the rest to the others. An empty version ends the move.
-func (g *Group) Move(version string, share float64) {
+// SetVersionShare sends the given share of the requests, from 0 to 1, to the
+// targets of a version and the rest to the others. An empty version ends the
+// move.
+func (g *Group) SetVersionShare(version string, share float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
--- a/targets/reports_test.go
+++ b/targets/reports_test.go
@@ -28,7 +28,7 @@
 		r.reports[i] = targets.NewReports(clock.System{})
 		r.groups[i] = targets.NewGroup("s", platform.TargetProtocol(), targets.Dial(r.emulator.Dial),
 			targets.PreferDomain("a"), targets.ReportTo(r.reports[i]))
-		r.groups[i].Resize(targets.NewSizing(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
+		r.groups[i].Resize(targets.NewGroupLimits(3, targets.ColdLimits{}, targets.NewBudgetLimits(0.2, 54, 1), true))
 		r.groups[i].Update(r.entries)
 	}
 	time.Sleep(50 * time.Millisecond)
--- a/upgrade/move.go
+++ b/upgrade/move.go
@@ -40,10 +40,10 @@
 	RolledBack State = "rolled back"
 )
 
-// Next returns the next state of a move. Elapsed is the time since the order,
+// NextState returns the next state of a move. Elapsed is the time since the order,
 // duration the time that the order allows for the move. The tallies count the
 // answers seen by all daemons.
-func Next(current State, elapsed, duration time.Duration, oldTally, newTally Tally) State {
+func NextState(current State, elapsed, duration time.Duration, oldTally, newTally Tally) State {
 	switch {
 	case current != Running:
 		return current
--- a/upgrade/move_test.go
+++ b/upgrade/move_test.go
@@ -25,7 +25,7 @@
 		} else {
 			oldTally.Count(rng.Float64() < oldBadRate(elapsed))
 		}
-		if state = Next(state, elapsed, moveDuration, oldTally, newTally); state != Running {
+		if state = NextState(state, elapsed, moveDuration, oldTally, newTally); state != Running {
 			break
 		}
 	}
@@ -38,7 +38,7 @@
 
 // Guards against rolling back a good version because a few of its answers are
 // bad, at the same rate as those of the old version.
-func TestNextCompletesGoodVersion(t *testing.T) {
+func TestNextStateCompletesGoodVersion(t *testing.T) {
 	for seed := range int64(200) {
 		if state, _, _ := simulateMove(seed, 1200, constantRate(0.05), constantRate(0.05)); state != Completed {
 			t.Errorf("seed %d: a good version ended %s", seed, state)
@@ -48,7 +48,7 @@
 
 // Guards against a bad version that is not rolled back, gets more than a tenth
 // of the requests, or gives more than 50 bad answers before the rollback.
-func TestNextRollsBackBadVersion(t *testing.T) {
+func TestNextStateRollsBackBadVersion(t *testing.T) {
 	for name, bad := range map[string]func(time.Duration) float64{
 		"at once": constantRate(0.4),
 		"later": func(elapsed time.Duration) float64 {
@@ -74,9 +74,9 @@
 }
 
 // Guards against leaving a final state.
-func TestNextFinalStates(t *testing.T) {
+func TestNextStateFinalStates(t *testing.T) {
 	for _, s := range []State{Completed, RolledBack} {
-		if got := Next(s, 2*moveDuration, moveDuration, NewTally(100, 0), NewTally(100, 90)); got != s {
+		if got := NextState(s, 2*moveDuration, moveDuration, NewTally(100, 0), NewTally(100, 90)); got != s {
 			t.Errorf("%s became %s", s, got)
 		}
 	}
