--- a/standin/cmd/load/main.go
+++ b/standin/cmd/load/main.go
@@ -45,7 +45,7 @@
 	report, err := c.run(ctx)
 	k.FatalIfErrorf(err)
 	report.WriteMarkdown(os.Stdout)
-	if n, _ := report.Faults(); n > 0 {
+	if n, _ := report.Violations(); n > 0 {
 		k.Exit(1)
 	}
 }
--- a/standin/load/check.go
+++ b/standin/load/check.go
@@ -7,13 +7,14 @@
 	"medlaryard.example/medlaryard/standin/searchers"
 )
 
-// checker compares answers to queries with what an answer must be.
+// checker validates answers to queries. A nil corpus skips the comparison with
+// the reference answer.
 type checker struct {
 	corpus *searchers.Corpus
 }
 
-// fault describes what is wrong with an answer; empty when nothing is.
-func (c checker) fault(r wireRequest, a wireAnswer) string {
+// violation describes what is wrong with an answer; it is empty for a correct one.
+func (c checker) violation(r wireRequest, a wireAnswer) string {
 	cov := a.Coverage
 	full := cov.Documents == cov.Total
 	switch {
@@ -32,12 +33,12 @@
 	case c.corpus == nil:
 		return ""
 	}
-	return c.compare(r, a, full)
+	return c.compareWithReference(r, a, full)
 }
 
-// compare checks a full answer for equality with the reference answer, and a
-// partial one for containing nothing else than hits of its snapshot.
-func (c checker) compare(r wireRequest, a wireAnswer, full bool) string {
+// compareWithReference requires a full answer to equal the reference answer, and
+// a partial one to contain only hits of its snapshot, in order.
+func (c checker) compareWithReference(r wireRequest, a wireAnswer, full bool) string {
 	if a.Coverage.Total != c.corpus.Total(a.Snapshot) {
 		return fmt.Sprintf("answer to %q states %d documents in snapshot %d, which has %d",
 			r.ID, a.Coverage.Total, a.Snapshot, c.corpus.Total(a.Snapshot))
@@ -51,14 +52,14 @@
 	if full && len(a.Hits) != len(reference) {
 		return fmt.Sprintf("answer to %q has %d hits, the reference has %d", r.ID, len(a.Hits), len(reference))
 	}
-	place := make(map[string]int, len(reference))
+	rank := make(map[string]int, len(reference))
 	for i, h := range reference {
-		place[h.ID] = i
+		rank[h.ID] = i
 	}
 	last := -1
 	for _, h := range a.Hits {
-		i, ok := place[h.ID]
-		if !ok || !same(h, reference[i]) {
+		i, ok := rank[h.ID]
+		if !ok || !equalHit(h, reference[i]) {
 			return fmt.Sprintf("answer to %q has hit %q that is not one of snapshot %d", r.ID, h.ID, a.Snapshot)
 		}
 		if i <= last {
@@ -69,7 +70,7 @@
 	return ""
 }
 
-func same(h wireHit, ref searchers.Hit) bool {
+func equalHit(h wireHit, ref searchers.Hit) bool {
 	var got, want any
 	if json.Unmarshal(h.Data, &got) != nil || json.Unmarshal(ref.Data, &want) != nil {
 		return false
--- a/standin/load/check_test.go
+++ b/standin/load/check_test.go
@@ -21,17 +21,18 @@
 	return a
 }
 
-// Guards against a generator that passes false answers.
-func TestFalseAnswersAreFound(t *testing.T) {
+// Guards against a checker that accepts an answer with a wrong id, snapshot,
+// coverage or hits.
+func TestCheckerFindsViolations(t *testing.T) {
 	c := searchers.NewCorpus(3, 400)
 	r := wireRequest{ID: "q", Limit: 5, Body: json.RawMessage(`"chorus 1"`)}
 	whole, half := searchers.Range{High: searchers.KeySpace}, searchers.Range{High: searchers.KeySpace / 2}
 	other := referenceAnswer(c, r, 2, whole)
 	cases := []struct {
-		name   string
-		ranges searchers.Range
-		change func(*wireAnswer)
-		fault  bool
+		name      string
+		ranges    searchers.Range
+		change    func(*wireAnswer)
+		violation bool
 	}{
 		{"full", whole, func(*wireAnswer) {}, false},
 		{"partial", half, func(*wireAnswer) {}, false},
@@ -42,28 +43,28 @@
 		{"hit twice", half, func(a *wireAnswer) { a.Hits[1] = a.Hits[0] }, true},
 		{"hit missing", whole, func(a *wireAnswer) { a.Hits = a.Hits[1:] }, true},
 		{"wrong data", whole, func(a *wireAnswer) { a.Hits[0].Data = json.RawMessage(`"x"`) }, true},
-		{"coverage above the truth", half, func(a *wireAnswer) { a.Coverage.Documents = a.Coverage.Total }, true},
-		{"nothing named as missing", half, func(a *wireAnswer) { a.Missing = nil }, true},
-		{"more hits than asked for", whole, func(a *wireAnswer) { a.Hits = append(a.Hits, a.Hits...) }, true},
+		{"overstated coverage", half, func(a *wireAnswer) { a.Coverage.Documents = a.Coverage.Total }, true},
+		{"partial without missing shards", half, func(a *wireAnswer) { a.Missing = nil }, true},
+		{"more hits than the limit", whole, func(a *wireAnswer) { a.Hits = append(a.Hits, a.Hits...) }, true},
 	}
 	for _, tc := range cases {
 		a := referenceAnswer(c, r, 1, tc.ranges)
 		tc.change(&a)
-		if f := (checker{corpus: c}).fault(r, a); (f != "") != tc.fault {
-			t.Errorf("%s: fault %q", tc.name, f)
+		if f := (checker{corpus: c}).violation(r, a); (f != "") != tc.violation {
+			t.Errorf("%s: violation %q", tc.name, f)
 		}
 	}
 }
 
-// Guards against a ledger that passes a request that ran twice or a false
-// statement about having run.
-func TestFalseOutcomesAreFound(t *testing.T) {
+// Guards against an answerLog that accepts a request that ran twice, or an answer
+// that wrongly states whether the request ran.
+func TestAnswerLogFindsViolations(t *testing.T) {
 	ok, no, unknown := wireAnswer{Outcome: "done"}, wireAnswer{Kind: "overloaded", Ran: "no"}, wireAnswer{Kind: "deadline", Ran: "unknown"}
 	cases := []struct {
-		name    string
-		answers []wireAnswer
-		runs    int
-		faults  int
+		name       string
+		answers    []wireAnswer
+		runs       int
+		violations int
 	}{
 		{"ran once", []wireAnswer{ok, ok}, 1, 0},
 		{"refused, then ran", []wireAnswer{no, ok}, 1, 0},
@@ -75,12 +76,12 @@
 		{"ran after refusals", []wireAnswer{no, no}, 1, 1},
 	}
 	for _, tc := range cases {
-		l := newLedger()
+		l := newAnswerLog()
 		for _, a := range tc.answers {
 			l.add("x", a)
 		}
-		if f := l.faults(map[string]int{"x": tc.runs}); len(f) != tc.faults {
-			t.Errorf("%s: faults %q, want %d", tc.name, f, tc.faults)
+		if f := l.violations(map[string]int{"x": tc.runs}); len(f) != tc.violations {
+			t.Errorf("%s: violations %q, want %d", tc.name, f, tc.violations)
 		}
 	}
 }
--- a/standin/load/config.go
+++ b/standin/load/config.go
@@ -8,17 +8,17 @@
 
 // Config describes one run of the generator.
 type Config struct {
-	// Daemons are IP addresses and ports of callers' interfaces, of which any
-	// answers address requests.
+	// Daemons are IP addresses and ports of callers' interfaces. Any of them
+	// serves address requests.
 	Daemons []string
 	// Operators are IP addresses and ports of operators' interfaces, from which
-	// hedges and retries are read; empty skips that.
+	// the counters of hedges and retries are read; empty skips that.
 	Operators []string
-	// Rate is the number of requests a second and Count their total number.
+	// Rate is the number of requests per second and Count their total number.
 	Rate  float64
 	Count int
-	// MaxInFlight bounds the requests in flight; a request above it is counted
-	// as not sent.
+	// MaxInFlight bounds the requests in flight. A request that would exceed it
+	// is not sent, and is counted as refused with kind client_not_sent.
 	MaxInFlight int
 	Owner       string
 	Class       string
@@ -26,21 +26,23 @@
 	Route       string
 	Deadline    time.Duration
 	Limit       int
-	// Seed determines bodies and resends.
+	// Seed determines the request bodies, which requests are non-idempotent and
+	// which are resent.
 	Seed uint64
 	// Queries is the number of different query texts.
 	Queries int
-	// Corpus gives reference answers; nil skips that check.
+	// Corpus returns the reference answers; nil skips the comparison with them.
 	Corpus *searchers.Corpus
-	// RunRatio is the share of non-idempotent requests, sent to RunService.
+	// RunRatio is the fraction of requests that are non-idempotent, 0 to 1. They
+	// go to RunService, which defaults to Service.
 	RunRatio   float64
 	RunService string
-	// ResendRatio is the share of non-idempotent requests that are sent again
-	// to the same and to another daemon.
+	// ResendRatio is the fraction of non-idempotent requests, 0 to 1, that are
+	// sent twice to one daemon and then once to another.
 	ResendRatio float64
 	// Searchers is the IP address and port of the searchers' admin endpoint,
-	// from which the sub-requests received and the runs of each identifier are
-	// read; empty skips both.
+	// from which the searchers' counters and the number of runs of each request
+	// are read; empty skips both.
 	Searchers string
 }
 
@@ -49,7 +51,7 @@
 	defaultDeadline    = 2 * time.Second
 	defaultLimit       = 10
 	defaultQueries     = 100
-	// replyGrace is the time after the deadline for which a reply is awaited.
+	// replyGrace is how long after the deadline the generator waits for a reply.
 	replyGrace = time.Second
 )
 
--- a/standin/load/generator.go
+++ b/standin/load/generator.go
@@ -11,34 +11,35 @@
 
 // generator sends the requests of one run.
 type generator struct {
-	cfg    Config
-	name   string
-	book   *book
-	sender *sender
-	check  checker
-	ledger *ledger
-	report *Report
+	cfg       Config
+	idPrefix  string
+	addresses *addressCache
+	sender    *sender
+	checker   checker
+	answers   *answerLog
+	report    *Report
 }
 
-// Run sends cfg.Count requests, each at its intended time whether or not
-// earlier ones were answered, and returns when all are answered or given up.
-// It ends early with ctx.
+// Run sends cfg.Count requests, each at its scheduled time whether or not
+// earlier ones were answered, and returns when all are answered or have timed
+// out. After ctx is done it sends no more requests. It returns an error if cfg is
+// invalid or the searchers' counters cannot be read.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg = cfg.withDefaults()
 	if cfg.Rate <= 0 || cfg.Count <= 0 || len(cfg.Daemons) == 0 {
-		return nil, fmt.Errorf("rate %g, count %d and %d daemons: all must be positive", cfg.Rate, cfg.Count, len(cfg.Daemons))
+		return nil, fmt.Errorf("rate %g, count %d and number of daemons %d must all be positive", cfg.Rate, cfg.Count, len(cfg.Daemons))
 	}
 	s := newSender()
 	g := &generator{
-		cfg:    cfg,
-		name:   fmt.Sprintf("load-%x", time.Now().UnixNano()),
-		book:   &book{client: s.client, seeds: cfg.Daemons},
-		sender: s,
-		check:  checker{corpus: cfg.Corpus},
-		ledger: newLedger(),
-		report: newReport(),
-	}
-	before, err := g.readings()
+		cfg:       cfg,
+		idPrefix:  fmt.Sprintf("load-%x", time.Now().UnixNano()),
+		addresses: &addressCache{client: s.client, seeds: cfg.Daemons},
+		sender:    s,
+		checker:   checker{corpus: cfg.Corpus},
+		answers:   newAnswerLog(),
+		report:    newReport(),
+	}
+	before, err := g.readCounters()
 	if err != nil {
 		return nil, err
 	}
@@ -49,25 +50,25 @@
 	return g.report, nil
 }
 
-// readings are the counters of daemons and searchers at one time.
-type readings struct {
-	counters []counters
-	witness  Witness
+// counterReadings holds the counters of daemons and searchers at one time.
+type counterReadings struct {
+	counters  []counters
+	searchers SearcherTotals
 }
 
-func (g *generator) readings() (readings, error) {
-	r := readings{counters: fetchAllCounters(g.cfg.Operators)}
+func (g *generator) readCounters() (counterReadings, error) {
+	r := counterReadings{counters: fetchAllCounters(g.cfg.Operators)}
 	if g.cfg.Searchers == "" {
 		return r, nil
 	}
 	var err error
-	r.witness, err = fetchWitness(g.cfg.Searchers)
+	r.searchers, err = fetchSearcherTotals(g.cfg.Searchers)
 	return r, err
 }
 
 func (g *generator) sendAll(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(g.cfg.Seed, 2))
-	room := make(chan struct{}, g.cfg.MaxInFlight)
+	inFlight := make(chan struct{}, g.cfg.MaxInFlight)
 	start := time.Now()
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -78,37 +79,37 @@
 		case <-ctx.Done():
 			return
 		}
-		plan := g.plan(rng, i)
+		planned := g.planRequest(rng, i)
 		select {
-		case room <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			g.report.answer(g.report.queries, wireAnswer{Kind: kindNotSent}, 0, false)
+			g.report.addAnswer(g.report.queryLatency, wireAnswer{Kind: kindNotSent}, 0, false)
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
-			if plan.run {
-				g.run(ctx, plan, intended)
+			defer func() { <-inFlight }()
+			if planned.nonIdempotent {
+				g.run(ctx, planned, intended)
 				return
 			}
-			g.query(ctx, plan, intended)
+			g.query(ctx, planned, intended)
 		})
 	}
 }
 
-// plan is one request with what was drawn for it.
-type plan struct {
-	request wireRequest
-	run     bool
-	resend  bool
+// plannedRequest is one request with its random choices.
+type plannedRequest struct {
+	request       wireRequest
+	nonIdempotent bool
+	resend        bool
 }
 
-func (g *generator) plan(rng *rand.Rand, i int) plan {
-	p := plan{
-		run:    rng.Float64() < g.cfg.RunRatio,
-		resend: rng.Float64() < g.cfg.ResendRatio,
+func (g *generator) planRequest(rng *rand.Rand, i int) plannedRequest {
+	p := plannedRequest{
+		nonIdempotent: rng.Float64() < g.cfg.RunRatio,
+		resend:        rng.Float64() < g.cfg.ResendRatio,
 		request: wireRequest{
-			ID:         fmt.Sprintf("%s-%d", g.name, i),
+			ID:         fmt.Sprintf("%s-%d", g.idPrefix, i),
 			Owner:      g.cfg.Owner,
 			Class:      g.cfg.Class,
 			Service:    g.cfg.Service,
@@ -118,34 +119,34 @@
 		},
 	}
 	p.request.Body = json.RawMessage(fmt.Sprintf(`"chorus %d"`, rng.IntN(g.cfg.Queries)))
-	if p.run {
+	if p.nonIdempotent {
 		p.request.Service = g.cfg.RunService
 		p.request.Limit = 0
 	}
 	return p
 }
 
-func (g *generator) query(ctx context.Context, p plan, intended time.Time) {
-	first, _, err := g.book.pick(ctx)
+func (g *generator) query(ctx context.Context, p plannedRequest, intended time.Time) {
+	first, _, err := g.addresses.pick(ctx)
 	if err != nil {
-		g.report.answer(g.report.queries, wireAnswer{Kind: kindNoAddress}, 0, false)
+		g.report.addAnswer(g.report.queryLatency, wireAnswer{Kind: kindNoAddress}, 0, false)
 		return
 	}
 	a := g.sender.send(first, "/v1/query", p.request)
 	latency := time.Since(intended)
-	g.heed(a)
+	g.expireAddressesAfter(a)
 	if a.Kind == "" {
-		g.report.fault(g.check.fault(p.request, a))
+		g.report.addViolation(g.checker.violation(p.request, a))
 	}
-	g.report.answer(g.report.queries, a, latency, a.Coverage.Total > 0 && a.Coverage.Documents == a.Coverage.Total)
+	g.report.addAnswer(g.report.queryLatency, a, latency, a.Coverage.Total > 0 && a.Coverage.Documents == a.Coverage.Total)
 }
 
-// run sends a non-idempotent request. A resend goes to the same daemon while
-// the first is in flight and to another daemon afterwards.
-func (g *generator) run(ctx context.Context, p plan, intended time.Time) {
-	first, other, err := g.book.pick(ctx)
+// run sends a non-idempotent request. With resend, a copy goes to the same daemon
+// while the first is in flight, and another copy to the second daemon afterwards.
+func (g *generator) run(ctx context.Context, p plannedRequest, intended time.Time) {
+	first, second, err := g.addresses.pick(ctx)
 	if err != nil {
-		g.report.answer(g.report.runs, wireAnswer{Kind: kindNoAddress}, 0, false)
+		g.report.addAnswer(g.report.runLatency, wireAnswer{Kind: kindNoAddress}, 0, false)
 		return
 	}
 	p.request.Ticket = &first.ticket
@@ -155,49 +156,50 @@
 	}
 	a := g.sendRun(first, p.request)
 	latency := time.Since(intended)
-	g.heed(a)
+	g.expireAddressesAfter(a)
 	wg.Wait()
 	if p.resend {
-		g.sendRun(other, p.request)
+		g.sendRun(second, p.request)
 	}
-	g.report.answer(g.report.runs, a, latency, true)
+	g.report.addAnswer(g.report.runLatency, a, latency, true)
 }
 
-func (g *generator) sendRun(t target, r wireRequest) wireAnswer {
-	a := g.sender.send(t, "/v1/run", r)
-	g.ledger.add(r.ID, a)
+func (g *generator) sendRun(e endpoint, r wireRequest) wireAnswer {
+	a := g.sender.send(e, "/v1/run", r)
+	g.answers.add(r.ID, a)
 	return a
 }
 
-// heed asks for addresses again when an answer, a broken connection or silence
-// advises it.
-func (g *generator) heed(a wireAnswer) {
+// expireAddressesAfter expires the cached addresses if the answer asks for that,
+// the connection broke or the request timed out.
+func (g *generator) expireAddressesAfter(a wireAnswer) {
 	if a.Kind == kindConnection || a.Kind == kindTimeout || a.Retry == "address" {
-		g.book.expire()
+		g.addresses.expire()
 	}
 }
 
-// finish reads the counters again and compares outcomes with runs.
-func (g *generator) finish(before readings) error {
-	after, err := g.readings()
+// finish reads the counters again, adds their increase to the report and compares
+// the answers to non-idempotent requests with the recorded runs.
+func (g *generator) finish(before counterReadings) error {
+	after, err := g.readCounters()
 	if err != nil {
 		return err
 	}
-	extra, witness := extraBetween(before.counters, after.counters), after.witness.since(before.witness)
-	extra.SubRequests = witness.Received
+	extraSends, searchers := extraSendsBetween(before.counters, after.counters), after.searchers.since(before.searchers)
+	extraSends.SubRequests = searchers.Received
 	if len(g.cfg.Operators) > 0 {
-		g.report.extra = &extra
+		g.report.extraSends = &extraSends
 	}
 	if g.cfg.Searchers == "" {
 		return nil
 	}
-	g.report.witness = &witness
+	g.report.searchers = &searchers
 	var runs map[string]int
 	if err := fetchJSON("http://"+g.cfg.Searchers+"/admin/runs", &runs); err != nil {
 		return err
 	}
-	for _, f := range g.ledger.faults(runs) {
-		g.report.fault(f)
+	for _, f := range g.answers.violations(runs) {
+		g.report.addViolation(f)
 	}
 	return nil
 }
--- a/standin/load/generator_test.go
+++ b/standin/load/generator_test.go
@@ -13,20 +13,20 @@
 	"medlaryard.example/medlaryard/standin/searchers"
 )
 
-// daemon is a callers' interface with one address that answers from a corpus
-// and runs every non-idempotent request as often as it arrives.
-type daemon struct {
-	corpus *searchers.Corpus
-	self   string
-	keepMS int64
+// fakeDaemon serves the callers' interface at one address. It answers queries
+// from a corpus and runs a non-idempotent request each time that it receives it.
+type fakeDaemon struct {
+	corpus  *searchers.Corpus
+	address string
+	keepMS  int64
 
-	mu      sync.Mutex
-	queries int
-	asked   int
-	runs    map[string]int
+	mu              sync.Mutex
+	queries         int
+	addressRequests int
+	runs            map[string]int
 }
 
-func (d *daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var req wireRequest
@@ -34,8 +34,8 @@
 	var reply any
 	switch r.URL.Path {
 	case "/v1/addresses":
-		d.asked++
-		reply = wireAddresses{Addresses: []wireAddress{{Address: d.self, Incarnation: "i"}}, KeepMS: d.keepMS, IssuedMS: 5}
+		d.addressRequests++
+		reply = wireAddresses{Addresses: []wireAddress{{Address: d.address, Incarnation: "i"}}, KeepMS: d.keepMS, IssuedMS: 5}
 	case "/v1/query":
 		d.queries++
 		reply = referenceAnswer(d.corpus, req, 1, searchers.Range{High: searchers.KeySpace})
@@ -57,53 +57,55 @@
 	_ = json.NewEncoder(w).Encode(reply)
 }
 
-func startDaemon(t *testing.T, keepMS int64) *daemon {
-	d := &daemon{corpus: searchers.NewCorpus(1, 100), keepMS: keepMS, runs: make(map[string]int)}
+func startFakeDaemon(t *testing.T, keepMS int64) *fakeDaemon {
+	d := &fakeDaemon{corpus: searchers.NewCorpus(1, 100), keepMS: keepMS, runs: make(map[string]int)}
 	s := httptest.NewServer(d)
 	t.Cleanup(s.Close)
-	d.self = strings.TrimPrefix(s.URL, "http://")
+	d.address = strings.TrimPrefix(s.URL, "http://")
 	return d
 }
 
-// Guards against requests that are lost or counted twice, addresses that are
-// asked for again within their time, counters that are not read, and a killed
-// daemon whose counters end the run.
-func TestEveryRequestIsCounted(t *testing.T) {
-	d := startDaemon(t, 60_000)
+// Guards against requests that are lost or counted twice, address requests while
+// the cached addresses are valid, counters that are not read, and a run that
+// fails because the counters of a killed daemon cannot be read.
+func TestRunCountsRequests(t *testing.T) {
+	d := startFakeDaemon(t, 60_000)
 	report, err := Run(context.Background(), Config{
-		Daemons: []string{"127.0.0.1:1", d.self}, Operators: []string{d.self, "127.0.0.1:1"}, Searchers: d.self,
+		Daemons: []string{"127.0.0.1:1", d.address}, Operators: []string{d.address, "127.0.0.1:1"}, Searchers: d.address,
 		Rate: 5000, Count: 200, Corpus: d.corpus, RunRatio: 0.1,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, details := report.Faults(); n != 0 || report.Sent() != 200 || report.Answered() != 200 || report.Full() != 200 {
-		t.Errorf("sent %d, answered %d, full %d, faults %q", report.Sent(), report.Answered(), report.Full(), details)
+	if n, details := report.Violations(); n != 0 || report.Requests() != 200 || report.Answered() != 200 || report.Full() != 200 {
+		t.Errorf("requests %d, answered %d, full %d, violations %q", report.Requests(), report.Answered(), report.Full(), details)
 	}
-	if d.asked != 1 || d.queries+len(d.runs) != 200 || len(d.runs) == 0 {
-		t.Errorf("addresses asked %d times, %d queries, %d runs", d.asked, d.queries, len(d.runs))
+	if d.addressRequests != 1 || d.queries+len(d.runs) != 200 || len(d.runs) == 0 {
+		t.Errorf("%d address requests, %d queries, %d runs", d.addressRequests, d.queries, len(d.runs))
 	}
-	if e := report.Extra(); e == nil || *e != (Extra{SubRequests: int64(2 * d.queries), Hedges: 1, Unread: 1}) {
+	if e := report.ExtraSends(); e == nil || *e != (ExtraSends{SubRequests: int64(2 * d.queries), Hedges: 1, UnreadDaemons: 1}) {
 		t.Errorf("extra sub-requests %+v, want %d received and one hedge", e, 2*d.queries)
 	}
 }
 
-// Guards against resends that do not happen or whose second run goes unnoticed.
-func TestSecondRunIsNoticed(t *testing.T) {
-	d := startDaemon(t, 0)
+// Guards against resends that are not sent, or a repeated run that is not
+// reported.
+func TestRunReportsRepeatedRuns(t *testing.T) {
+	d := startFakeDaemon(t, 0)
 	report, err := Run(context.Background(), Config{
-		Daemons: []string{d.self}, Searchers: d.self, Rate: 5000, Count: 20, RunRatio: 1, ResendRatio: 1,
+		Daemons: []string{d.address}, Searchers: d.address, Rate: 5000, Count: 20, RunRatio: 1, ResendRatio: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n, _ := report.Faults(); n != 20 {
-		t.Errorf("%d faults for 20 requests that ran three times", n)
+	if n, _ := report.Violations(); n != 20 {
+		t.Errorf("%d violations for 20 requests that ran three times", n)
 	}
 }
 
-// Guards against a dead daemon ending the run instead of being reported.
-func TestDeadDaemonIsReported(t *testing.T) {
+// Guards against a run that fails because no daemon is reachable, instead of
+// reporting the requests as refused.
+func TestRunWithUnreachableDaemon(t *testing.T) {
 	report, err := Run(context.Background(), Config{Daemons: []string{"127.0.0.1:1"}, Rate: 1000, Count: 5})
 	if err != nil || report.Refused()[kindNoAddress] != 5 {
 		t.Errorf("refused %v, error %v", report.Refused(), err)
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -11,94 +11,101 @@
 )
 
 const (
-	// The histogram records microseconds up to one minute with three digits.
-	maxLatency = time.Minute
-	digits     = 3
-	// maxFaults bounds the faults that are kept in words; all are counted.
-	maxFaults = 20
+	// The histograms record microseconds up to one minute with three significant
+	// digits; longer latencies count as maxLatency.
+	maxLatency        = time.Minute
+	significantDigits = 3
+	// maxDetails bounds the violations whose descriptions are kept; all are counted.
+	maxDetails = 20
 )
 
-// Report is the result of a run.
+// Report is the result of Run.
 type Report struct {
-	mu       sync.Mutex
-	queries  *hdrhistogram.Histogram // Latency of answers to queries.
-	runs     *hdrhistogram.Histogram // Latency of outcomes of non-idempotent requests.
-	sent     int
-	answered int
-	full     int
-	refused  map[string]int
-	faults   int
-	details  []string
-	extra    *Extra
-	witness  *Witness
+	mu           sync.Mutex
+	queryLatency *hdrhistogram.Histogram // Answers to queries.
+	runLatency   *hdrhistogram.Histogram // Outcomes of non-idempotent requests.
+	requests     int
+	answered     int
+	full         int
+	refused      map[string]int
+	violations   int
+	details      []string
+	extraSends   *ExtraSends
+	searchers    *SearcherTotals
 }
 
 func newReport() *Report {
 	return &Report{
-		queries: newHistogram(),
-		runs:    newHistogram(),
-		refused: make(map[string]int),
+		queryLatency: newHistogram(),
+		runLatency:   newHistogram(),
+		refused:      make(map[string]int),
 	}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
-// Sent returns the number of requests.
-func (r *Report) Sent() int { return r.sent }
+// Requests returns the number of requests, including those not sent because too
+// many were in flight.
+func (r *Report) Requests() int { return r.requests }
 
-// Answered returns the number of answers that are no refusals.
+// Answered returns the number of answers that are not refusals.
 func (r *Report) Answered() int { return r.answered }
 
-// Full returns the number of answers with full coverage or an outcome.
+// Full returns the number of query answers with full coverage plus the number of
+// outcomes.
 func (r *Report) Full() int { return r.full }
 
-// Refused returns the number of refusals by kind.
+// Refused returns the number of refusals by kind, including the kinds that the
+// generator assigns (client_...).
 func (r *Report) Refused() map[string]int { return r.refused }
 
-// Faults returns the number of false answers and the first of them in words.
-func (r *Report) Faults() (int, []string) { return r.faults, r.details }
+// Violations returns the number of violations and descriptions of the first 20.
+func (r *Report) Violations() (int, []string) { return r.violations, r.details }
 
-// Quantile returns a quantile of the latency of answers to queries, from their
-// intended start.
-func (r *Report) Quantile(percent float64) time.Duration { return quantile(r.queries, percent) }
+// Percentile returns a percentile (0 to 100) of the query latency. Latency counts
+// from the scheduled send time, so that delays in the generator are included.
+func (r *Report) Percentile(percent float64) time.Duration {
+	return percentile(r.queryLatency, percent)
+}
 
-func quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
+func percentile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// Extra returns the sub-requests of the daemons during the run, nil when they
-// were not read.
-func (r *Report) Extra() *Extra { return r.extra }
+// ExtraSends returns the extra sub-requests during the run, nil if no operators'
+// interfaces were configured.
+func (r *Report) ExtraSends() *ExtraSends { return r.extraSends }
 
-// Witness returns the searchers' records during the run, nil when they were not read.
-func (r *Report) Witness() *Witness { return r.witness }
+// SearcherTotals returns the totals of the searchers' records during the run, nil
+// if no admin endpoint was configured.
+func (r *Report) SearcherTotals() *SearcherTotals { return r.searchers }
 
-// WriteMarkdown writes the report as a table.
+// WriteMarkdown writes the report as a Markdown table.
 func (r *Report) WriteMarkdown(w io.Writer) {
 	fmt.Fprintln(w, "| Measure | Value |\n|---|---|")
 	row := func(name, format string, args ...any) {
 		fmt.Fprintf(w, "| %s | %s |\n", name, fmt.Sprintf(format, args...))
 	}
-	row("requests", "%d", r.sent)
+	row("requests", "%d", r.requests)
 	row("answered", "%d", r.answered)
-	latencies := func(of string, h *hdrhistogram.Histogram) {
+	latencyRows := func(name string, h *hdrhistogram.Histogram) {
 		if h.TotalCount() == 0 {
 			return
 		}
 		for _, q := range []float64{50, 95, 99} {
-			row(fmt.Sprintf("%s p%g", of, q), "%.1f ms", ms(quantile(h, q)))
+			row(fmt.Sprintf("%s p%g", name, q), "%.1f ms", milliseconds(percentile(h, q)))
 		}
-		row(of+" max", "%.1f ms", ms(time.Duration(h.Max())*time.Microsecond))
+		row(name+" max", "%.1f ms", milliseconds(time.Duration(h.Max())*time.Microsecond))
 	}
-	latencies("query", r.queries)
-	latencies("run", r.runs)
-	row("full coverage", "%.3f%% of requests", percent(r.full, r.sent))
+	latencyRows("query", r.queryLatency)
+	latencyRows("run", r.runLatency)
+	row("full coverage", "%.3f%% of requests", percentage(r.full, r.requests))
 	for _, kind := range sortedKeys(r.refused) {
 		row("refused "+kind, "%d", r.refused[kind])
 	}
-	if w := r.witness; w != nil {
+	if w := r.searchers; w != nil {
 		row("sub-requests", "%d", w.Received)
 		row("refused connections", "%d", w.RefusedConnections)
 		row("crashes", "%d", w.Crashes)
@@ -106,25 +113,25 @@
 		row("peak in flight in a known cold start", "%d", w.PeakColdKnown)
 		row("work after a drain", "%d, last after %.1f s", w.AfterDrain, w.LastAfterDrain.Seconds())
 	}
-	if r.extra != nil {
-		row("hedges", "%d", r.extra.Hedges)
-		row("retries", "%d", r.extra.Retries)
-		row("daemons not read", "%d", r.extra.Unread)
+	if r.extraSends != nil {
+		row("hedges", "%d", r.extraSends.Hedges)
+		row("retries", "%d", r.extraSends.Retries)
+		row("daemons not read", "%d", r.extraSends.UnreadDaemons)
 	}
-	if r.extra != nil && r.witness != nil {
-		row("extra sub-requests", "%.2f%%", 100*r.extra.Ratio())
+	if r.extraSends != nil && r.searchers != nil {
+		row("extra sub-requests", "%.2f%%", 100*r.extraSends.Ratio())
 	}
-	row("false answers", "%d", r.faults)
+	row("false answers", "%d", r.violations)
 	for _, d := range r.details {
 		row("false answer", "%s", d)
 	}
 }
 
-// answer records one answer that arrived after latency.
-func (r *Report) answer(h *hdrhistogram.Histogram, a wireAnswer, latency time.Duration, full bool) {
+// addAnswer counts one answer, and records its latency in h unless it is a refusal.
+func (r *Report) addAnswer(h *hdrhistogram.Histogram, a wireAnswer, latency time.Duration, full bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent++
+	r.requests++
 	if a.Kind != "" {
 		r.refused[a.Kind]++
 		return
@@ -136,21 +143,21 @@
 	_ = h.RecordValue(min(latency, maxLatency).Microseconds())
 }
 
-func (r *Report) fault(detail string) {
+func (r *Report) addViolation(detail string) {
 	if detail == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults++
-	if len(r.details) < maxFaults {
+	r.violations++
+	if len(r.details) < maxDetails {
 		r.details = append(r.details, detail)
 	}
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-func percent(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
+func percentage(n, of int) float64 { return 100 * float64(n) / float64(max(1, of)) }
 
 func sortedKeys(m map[string]int) []string {
 	keys := make([]string, 0, len(m))
--- a/standin/load/sender.go
+++ b/standin/load/sender.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Kinds that the generator itself assigns.
+// Refusal kinds that the generator assigns itself.
 const (
 	kindConnection = "client_connection" // No complete reply arrived.
-	kindTimeout    = "client_timeout"    // No reply within deadline and grace.
+	kindTimeout    = "client_timeout"    // No reply until replyGrace after the deadline.
 	kindUndecoded  = "client_undecoded"  // The reply is not JSON.
-	kindNoAddress  = "client_no_address" // No daemon gave addresses.
-	kindNotSent    = "client_not_sent"   // Too many requests in flight.
+	kindNoAddress  = "client_no_address" // No daemon returned addresses.
+	kindNotSent    = "client_not_sent"   // MaxInFlight requests were in flight.
 )
 
-// sender sends one request and decodes its answer.
+// sender sends requests and decodes their answers.
 type sender struct {
 	client *http.Client
 }
@@ -31,16 +31,16 @@
 	}}}
 }
 
-// send returns an answer in every case; a failure has a client kind and leaves
-// open whether the request ran.
-func (s *sender) send(t target, path string, r wireRequest) wireAnswer {
+// send always returns an answer. If sending or decoding fails, the answer has a
+// client kind, and Ran is unknown unless the request was never sent.
+func (s *sender) send(e endpoint, path string, r wireRequest) wireAnswer {
 	body, err := json.Marshal(r)
 	if err != nil {
 		return wireAnswer{ID: r.ID, Kind: kindUndecoded, Ran: "no", Detail: err.Error()}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(r.DeadlineMS)*time.Millisecond+replyGrace)
 	defer cancel()
-	data, err := s.post(ctx, "http://"+t.address+path, body)
+	data, err := s.post(ctx, "http://"+e.address+path, body)
 	if err != nil {
 		kind := kindConnection
 		if ctx.Err() != nil {
--- a/standin/load/wire.go
+++ b/standin/load/wire.go
@@ -2,8 +2,8 @@
 
 import "encoding/json"
 
-// Wire types of the callers' interface, kept apart from the product's so that a
-// fault in those is noticed.
+// Wire types of the callers' interface. They are separate from the product's, so
+// that an unintended change of those is detected.
 
 type wireAddress struct {
 	Address     string `json:"address"`
@@ -52,7 +52,8 @@
 	Reason string `json:"reason"`
 }
 
-// wireAnswer is an answer to a query or a run, or a refusal when Kind is set.
+// wireAnswer is the answer to a query or the outcome of a non-idempotent request,
+// or a refusal if Kind is set.
 type wireAnswer struct {
 	ID           string          `json:"id"`
 	Snapshot     uint64          `json:"snapshot"`
