--- a/standin/cmd/standin/searchers.go
+++ b/standin/cmd/standin/searchers.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	defer fleet.Close()
-	for _, s := range fleet.Searchers(searchers.Select{}) {
+	for _, s := range fleet.Searchers(searchers.Filter{}) {
 		i := s.Info()
 		fmt.Println("searcher", i.Name, i.Service, i.Shard, i.Version, i.Domain, i.Address)
 	}
--- a/standin/searchers/call.go
+++ b/standin/searchers/call.go
@@ -10,7 +10,7 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// Causes that end a call.
+// Causes with which the context of a call is cancelled.
 var (
 	errCancelled = errors.New("cancelled")
 	errExpired   = errors.New("deadline passed")
@@ -18,40 +18,40 @@
 
 // call is one request of the target protocol.
 type call struct {
-	id       string
-	shard    string
-	route    string
-	snapshot uint64
-	limit    int
-	run      bool
-	body     []byte
-	held     Held
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
+	id            string
+	shard         string
+	route         string
+	snapshot      uint64
+	limit         int
+	nonIdempotent bool
+	body          []byte
+	held          HeldSnapshot
+	ctx           context.Context
+	cancel        context.CancelCauseFunc
 }
 
-func newCall(r *http.Request, run bool, body []byte, c clock.Clock) *call {
+func newCall(r *http.Request, nonIdempotent bool, body []byte, clk clock.Clock) *call {
 	ctx, cancel := context.WithCancelCause(r.Context())
-	k := &call{
-		id:     r.Header.Get("X-Request-Id"),
-		shard:  r.Header.Get("X-Shard"),
-		route:  r.Header.Get("X-Route"),
-		limit:  defaultLimit,
-		run:    run,
-		body:   body,
-		ctx:    ctx,
-		cancel: cancel,
+	c := &call{
+		id:            r.Header.Get("X-Request-Id"),
+		shard:         r.Header.Get("X-Shard"),
+		route:         r.Header.Get("X-Route"),
+		limit:         defaultLimit,
+		nonIdempotent: nonIdempotent,
+		body:          body,
+		ctx:           ctx,
+		cancel:        cancel,
 	}
-	k.snapshot, _ = strconv.ParseUint(r.Header.Get("X-Snapshot"), 10, 64)
+	c.snapshot, _ = strconv.ParseUint(r.Header.Get("X-Snapshot"), 10, 64)
 	if n, err := strconv.Atoi(r.Header.Get("X-Limit")); err == nil && n > 0 {
-		k.limit = n
+		c.limit = n
 	}
 	if ms, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64); err == nil {
-		t := c.AfterFunc(time.Duration(ms)*time.Millisecond, func() { cancel(errExpired) })
+		t := clk.AfterFunc(time.Duration(ms)*time.Millisecond, func() { cancel(errExpired) })
 		context.AfterFunc(ctx, func() { t.Stop() })
 	}
-	return k
+	return c
 }
 
-// cause returns why the context of the call ended.
-func (k *call) cause() error { return context.Cause(k.ctx) }
+// cause returns why the context of the call was cancelled.
+func (c *call) cause() error { return context.Cause(c.ctx) }
--- a/standin/searchers/catalogue.go
+++ b/standin/searchers/catalogue.go
@@ -6,9 +6,9 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// FromCatalogue returns one Config for each searcher of a catalogue, at its
-// address and with its slots, connections and cold limit. What a catalogue does
-// not state is taken from base.
+// FromCatalogue returns one Config for each searcher of a catalogue, with the
+// address, slots, connections and cold limit that the catalogue states. Other
+// fields come from base; seeds count up from base.Seed.
 func FromCatalogue(e catalogue.Estate, base Config) []Config {
 	var configs []Config
 	for _, service := range e.Services() {
@@ -22,7 +22,7 @@
 				c.Shard, c.Index, c.Shards = shard.Name(), i, len(service.Shards())
 				c.Address = s.Address()
 				c.Slots, c.Connections, c.ColdLimit = s.Slots(), s.Connections(), s.ColdLimit()
-				c.ConnectCost = connectCost(s.Connections())
+				c.ConnectCost = connectCostFor(s.Connections())
 				c.Seed = base.Seed + uint64(len(configs))
 				configs = append(configs, c)
 			}
@@ -31,12 +31,12 @@
 	return configs
 }
 
-// connectCost is the cost of a new connection today: searchers with few
-// connections are those of the large indexes, which take about 6 ms, all others
-// about 1 ms.
-func connectCost(connections int) time.Duration {
-	const few = 30
-	if connections <= few {
+// connectCostFor returns the time that a new connection takes. Searchers with at
+// most 30 connections serve the large indexes, where it takes about 6 ms; at all
+// others it takes about 1 ms.
+func connectCostFor(connections int) time.Duration {
+	const maxLargeIndexConnections = 30
+	if connections <= maxLargeIndexConnections {
 		return 6 * time.Millisecond
 	}
 	return time.Millisecond
--- a/standin/searchers/conn.go
+++ b/standin/searchers/conn.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// conn is an accepted connection that can go silent: it then swallows what both
-// sides send without an error.
+// conn is an accepted connection that can become silent: it then discards the
+// data of both sides without an error.
 type conn struct {
 	net.Conn
-	silent atomic.Bool
-	cost   time.Duration
-	paid   sync.Once
-	closed sync.Once
-	onEnd  func(*conn)
+	silent      atomic.Bool
+	connectCost time.Duration
+	delayOnce   sync.Once
+	closeOnce   sync.Once
+	onClose     func(*conn)
 }
 
-// Read delays the first byte by the cost of a new connection.
+// Read delays the first read by connectCost.
 func (c *conn) Read(b []byte) (int, error) {
-	c.paid.Do(func() { time.Sleep(c.cost) })
+	c.delayOnce.Do(func() { time.Sleep(c.connectCost) })
 	n, err := c.Conn.Read(b)
 	if c.silent.Load() && err == nil {
 		_, err = io.Copy(io.Discard, c.Conn)
@@ -41,11 +41,11 @@
 }
 
 func (c *conn) Close() error {
-	c.closed.Do(func() { c.onEnd(c) })
+	c.closeOnce.Do(func() { c.onClose(c) })
 	return c.Conn.Close()
 }
 
-// abort resets the connection, as a crashed process does.
+// abort resets the connection, as the kernel does when a process crashes.
 func (c *conn) abort() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/standin/searchers/corpus.go
+++ b/standin/searchers/corpus.go
@@ -10,10 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// matchOneIn is the number of documents for each one that matches a query.
-const matchOneIn = 8
+// documentsPerMatch is the average number of documents for each one that matches
+// a query.
+const documentsPerMatch = 8
 
-// Range is the keys [Low, High).
+// Range is the half-open range of keys [Low, High).
 type Range struct {
 	Low, High uint64
 }
@@ -25,15 +26,15 @@
 	Data  json.RawMessage `json:"data"`
 }
 
-// Corpus is a set of documents for each snapshot, determined by a seed.
-// Every snapshot scores the documents differently, so that an answer that mixes
+// Corpus is a set of documents for each snapshot, generated from a seed.
+// Each snapshot scores the documents differently, so that an answer that mixes
 // snapshots differs from the reference answer.
 type Corpus struct {
-	seed      uint64
-	documents int
+	seed          uint64
+	baseDocuments int
 
-	mu   sync.Mutex
-	keys []document // Ordered by key, the same in every snapshot but for the last ones.
+	mu     sync.Mutex
+	sorted []document // By key. A snapshot contains those with number < Total(snapshot).
 }
 
 type document struct {
@@ -41,31 +42,32 @@
 	number int
 }
 
-// NewCorpus returns the Corpus of a seed. Snapshot n has documents+n documents.
+// NewCorpus returns the Corpus that seed generates. Snapshot n has documents+n
+// documents.
 func NewCorpus(seed uint64, documents int) *Corpus {
-	return &Corpus{seed: seed, documents: documents}
+	return &Corpus{seed: seed, baseDocuments: documents}
 }
 
-// Total returns the number of documents of a snapshot.
-func (c *Corpus) Total(snapshot uint64) uint64 { return uint64(c.documents) + snapshot }
+// Total returns the number of documents in a snapshot.
+func (c *Corpus) Total(snapshot uint64) uint64 { return uint64(c.baseDocuments) + snapshot }
 
-// Count returns the number of documents of a snapshot in a range.
+// Count returns the number of documents of a snapshot whose keys are in r.
 func (c *Corpus) Count(snapshot uint64, r Range) uint64 {
 	var n uint64
-	c.each(snapshot, r, func(document) { n++ })
+	c.forEach(snapshot, r, func(document) { n++ })
 	return n
 }
 
-// Search returns the reference answer: the best limit hits of a query among
-// the documents of a snapshot in the ranges, ordered by score, highest first,
+// Search returns the reference answer to a query: at most limit hits among the
+// documents of a snapshot whose keys are in the ranges, by descending score,
 // then by id.
 func (c *Corpus) Search(snapshot uint64, ranges []Range, query []byte, limit int) []Hit {
 	hits := []Hit{}
 	for _, r := range ranges {
-		c.each(snapshot, r, func(d document) {
+		c.forEach(snapshot, r, func(d document) {
 			h := c.hash(snapshot, uint64(d.number), query)
-			if h%matchOneIn == 0 {
-				hits = append(hits, hit(snapshot, d.number, h))
+			if h%documentsPerMatch == 0 {
+				hits = append(hits, newHit(snapshot, d.number, h))
 			}
 		})
 	}
@@ -78,20 +80,20 @@
 	return hits[:min(limit, len(hits))]
 }
 
-func hit(snapshot uint64, number int, h uint64) Hit {
+func newHit(snapshot uint64, number int, h uint64) Hit {
 	return Hit{
 		ID: fmt.Sprintf("d%d", number),
-		// 53 bits are exact in a float64.
+		// A float64 represents 53 bits exactly.
 		Score: float64(h>>11) / (1 << 53),
 		Data:  fmt.Appendf(nil, `"document %d of snapshot %d"`, number, snapshot),
 	}
 }
 
-func (c *Corpus) each(snapshot uint64, r Range, f func(document)) {
+func (c *Corpus) forEach(snapshot uint64, r Range, f func(document)) {
 	total := int(c.Total(snapshot))
-	keys := c.keysFor(total)
-	first := sort.Search(len(keys), func(i int) bool { return keys[i].key >= r.Low })
-	for _, d := range keys[first:] {
+	docs := c.sortedDocuments(total)
+	first := sort.Search(len(docs), func(i int) bool { return docs[i].key >= r.Low })
+	for _, d := range docs[first:] {
 		if d.key >= r.High {
 			return
 		}
@@ -101,20 +103,20 @@
 	}
 }
 
-// keysFor returns the ordered keys of at least total documents.
-func (c *Corpus) keysFor(total int) []document {
+// sortedDocuments returns at least total documents, ordered by key.
+func (c *Corpus) sortedDocuments(total int) []document {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.keys) >= total {
-		return c.keys
+	if len(c.sorted) >= total {
+		return c.sorted
 	}
-	keys := make([]document, total)
-	for i := range keys {
-		keys[i] = document{key: c.hash(0, uint64(i), nil) >> 32, number: i}
+	docs := make([]document, total)
+	for i := range docs {
+		docs[i] = document{key: c.hash(0, uint64(i), nil) >> 32, number: i}
 	}
-	sort.Slice(keys, func(i, j int) bool { return keys[i].key < keys[j].key })
-	c.keys = keys
-	return keys
+	sort.Slice(docs, func(i, j int) bool { return docs[i].key < docs[j].key })
+	c.sorted = docs
+	return docs
 }
 
 func (c *Corpus) hash(snapshot, number uint64, query []byte) uint64 {
--- a/standin/searchers/corpus_test.go
+++ b/standin/searchers/corpus_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a stand-in whose shards overlap or leave documents out: a
-// correct merge of correct shard answers must equal the reference answer.
-func TestShardsMakeUpTheReference(t *testing.T) {
+// Guards against shard ranges that overlap or leave documents out: a merge of the
+// shards' answers must equal the reference answer.
+func TestShardAnswersMergeToReference(t *testing.T) {
 	c := NewCorpus(7, 300)
 	rapid.Check(t, func(t *rapid.T) {
-		p := Partition{
-			Layout: rapid.SampledFrom([]Layout{Even, Skewed}).Draw(t, "layout"),
+		p := PartitionMap{
+			Layout: rapid.SampledFrom([]Layout{EvenLayout, SkewedLayout}).Draw(t, "layout"),
 			Shards: rapid.IntRange(1, 40).Draw(t, "shards"),
 		}
 		snapshot := rapid.Uint64Range(1, 50).Draw(t, "snapshot")
--- a/standin/searchers/estate.go
+++ b/standin/searchers/estate.go
@@ -8,7 +8,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Estate describes the searchers of one process. Its YAML form is read by LoadEstate.
+// Estate describes the searchers of one process, in the YAML form that LoadEstate
+// reads. Zero values select defaults.
 type Estate struct {
 	// Seed determines the corpus and all random choices.
 	Seed      uint64      `yaml:"seed"`
@@ -20,27 +21,29 @@
 type Placement struct {
 	Service string `yaml:"service"`
 	Version string `yaml:"version"`
-	// Shards is the number of shards and ShardName the format of their names,
-	// with one verb for the index.
+	// Shards is the number of shards. ShardName is the fmt format of their names,
+	// with one verb for the index, such as s%02d.
 	Shards    int    `yaml:"shards"`
 	ShardName string `yaml:"shard_name"`
 	Replicas  int    `yaml:"replicas"`
-	// Domains receive the replicas of a shard in turn.
+	// Domains are the failure domains, to which the replicas of a shard are
+	// assigned in turn.
 	Domains []string `yaml:"domains"`
-	// Host is the IP address and Port the first port; 0 selects free ports.
-	Host        string        `yaml:"host"`
-	Port        int           `yaml:"port"`
-	Slots       int           `yaml:"slots"`
-	Queue       int           `yaml:"queue"`
-	Connections int           `yaml:"connections"`
-	ConnectCost time.Duration `yaml:"connect_cost"`
-	ServiceTime time.Duration `yaml:"service_time"`
-	ColdLimit   int           `yaml:"cold_limit"`
-	WarmAfter   int           `yaml:"warm_after"`
-	ColdSheds   bool          `yaml:"cold_sheds"`
-	StartCold   bool          `yaml:"start_cold"`
-	RestartTime time.Duration `yaml:"restart_time"`
-	Snapshots   []Held        `yaml:"snapshots"`
+	// Host is the IP address and Port the port of the first searcher, from which
+	// the others count up; 0 selects free ports.
+	Host        string         `yaml:"host"`
+	Port        int            `yaml:"port"`
+	Slots       int            `yaml:"slots"`
+	Queue       int            `yaml:"queue"`
+	Connections int            `yaml:"connections"`
+	ConnectCost time.Duration  `yaml:"connect_cost"`
+	ServiceTime time.Duration  `yaml:"service_time"`
+	ColdLimit   int            `yaml:"cold_limit"`
+	WarmAfter   int            `yaml:"warm_after"`
+	ColdSheds   bool           `yaml:"cold_sheds"`
+	StartCold   bool           `yaml:"start_cold"`
+	RestartTime time.Duration  `yaml:"restart_time"`
+	Snapshots   []HeldSnapshot `yaml:"snapshots"`
 }
 
 const (
@@ -65,9 +68,9 @@
 }
 
 // Corpus returns the corpus that all searchers of the estate serve.
-func (e Estate) Corpus() *Corpus { return NewCorpus(e.Seed, or(e.Documents, defaultDocuments)) }
+func (e Estate) Corpus() *Corpus { return NewCorpus(e.Seed, valueOr(e.Documents, defaultDocuments)) }
 
-// Configs returns one Config for each searcher.
+// Configs returns one Config for each searcher. Seeds count up from e.Seed.
 func (e Estate) Configs() []Config {
 	var configs []Config
 	for _, p := range e.Services {
@@ -85,10 +88,10 @@
 	if len(domains) == 0 {
 		domains = []string{defaultDomain}
 	}
-	version := or(p.Version, defaultVersion)
+	version := valueOr(p.Version, defaultVersion)
 	var configs []Config
 	for i := range shards {
-		shard := fmt.Sprintf(or(p.ShardName, defaultShardName), i)
+		shard := fmt.Sprintf(valueOr(p.ShardName, defaultShardName), i)
 		for j := range replicas {
 			port := 0
 			if p.Port > 0 {
@@ -97,13 +100,13 @@
 			configs = append(configs, Config{
 				Name:    fmt.Sprintf("%s-%s-%s-%d", p.Service, version, shard, j),
 				Service: p.Service,
-				// Consecutive shards start in different domains.
+				// The first replicas of consecutive shards are in different domains.
 				Domain:      domains[(i+j)%len(domains)],
 				Version:     version,
 				Shard:       shard,
 				Index:       i,
 				Shards:      shards,
-				Address:     fmt.Sprintf("%s:%d", or(p.Host, defaultHost), port),
+				Address:     fmt.Sprintf("%s:%d", valueOr(p.Host, defaultHost), port),
 				Slots:       p.Slots,
 				Queue:       p.Queue,
 				Connections: p.Connections,
--- a/standin/searchers/faults.go
+++ b/standin/searchers/faults.go
@@ -1,27 +1,29 @@
 package searchers
 
-// Faults is what a searcher does wrong. Ratios are between 0 and 1.
+// Faults are the faults that a searcher injects. Ratios are fractions of requests
+// or replies, from 0 to 1.
 type Faults struct {
-	// Slowdown multiplies service times; 0 is 1.
+	// Slowdown multiplies service times; 0 means 1.
 	Slowdown float64 `json:"slowdown"`
-	// Errors is the ratio of errors with unknown outcome by route; the route
-	// "*" stands for all others.
+	// Errors is the ratio of errors with unknown outcome, by route; "*" applies
+	// to routes without an entry.
 	Errors map[string]float64 `json:"errors"`
 	// ErrorsAfter is the number of requests that a searcher runs before Errors
-	// begin, and ErrorsAbove the number in flight up to which there are none.
+	// apply. Errors apply only with more than ErrorsAbove requests in flight.
 	ErrorsAfter int `json:"errors_after"`
 	ErrorsAbove int `json:"errors_above"`
-	// SlowRoutes multiplies the service times of single routes.
+	// SlowRoutes multiplies the service times by route, in addition to Slowdown.
 	SlowRoutes map[string]float64 `json:"slow_routes"`
-	// Health replaces the state in health replies.
+	// Health replaces the state in health replies; empty reports the real state.
 	Health string `json:"health"`
-	// Down refuses all connections.
+	// Down resets all open and new connections.
 	Down bool `json:"down"`
-	// CrashMarker in a body crashes the searcher that runs it.
+	// CrashMarker crashes a searcher that runs a request whose body contains it.
 	CrashMarker string `json:"crash_marker"`
-	// Truncate is the ratio of replies that break off in the middle.
+	// Truncate is the ratio of replies that end in the middle of the body, because
+	// the connection closes.
 	Truncate float64 `json:"truncate"`
-	// Duplicate is the ratio of replies that arrive twice on their connection.
+	// Duplicate is the ratio of replies that are sent twice on their connection.
 	Duplicate float64 `json:"duplicate"`
 	// Mislabel is the ratio of replies with a wrong value in MislabelField: id,
 	// shard, snapshot, map or range.
@@ -29,8 +31,8 @@
 	MislabelField string  `json:"mislabel_field"`
 }
 
-// errorRatio returns the ratio for a request on route, when ran others ran
-// since the faults are in force and inFlight requests are in flight.
+// errorRatio returns the error ratio of a request on route. ran counts the requests
+// run before it since the faults were set, and inFlight the requests in flight.
 func (f Faults) errorRatio(route string, ran, inFlight int) float64 {
 	if ran < f.ErrorsAfter || inFlight <= f.ErrorsAbove {
 		return 0
@@ -42,6 +44,6 @@
 }
 
 func (f Faults) slowdown(route string) float64 {
-	factor := or(f.Slowdown, 1)
-	return factor * or(f.SlowRoutes[route], 1)
+	factor := valueOr(f.Slowdown, 1)
+	return factor * valueOr(f.SlowRoutes[route], 1)
 }
--- a/standin/searchers/fleet.go
+++ b/standin/searchers/fleet.go
@@ -1,17 +1,19 @@
 package searchers
 
-// Fleet is all searchers of one process.
+// Fleet holds all searchers of one process.
 type Fleet struct {
 	corpus    *Corpus
 	searchers []*Searcher
 }
 
-// Select narrows a Fleet to the searchers whose fields equal the fields that are set.
-type Select struct {
+// Filter selects searchers whose fields equal those set in the filter. The zero
+// Filter selects all.
+type Filter struct {
 	Name, Service, Shard, Domain, Version string
 }
 
-// StartFleet starts one searcher for each Config, or none.
+// StartFleet starts one searcher for each Config. If one fails to start, it stops
+// those already started and returns the error.
 func StartFleet(corpus *Corpus, configs []Config) (*Fleet, error) {
 	f := &Fleet{corpus: corpus}
 	for _, cfg := range configs {
@@ -35,8 +37,9 @@
 // Corpus returns the corpus that all searchers serve.
 func (f *Fleet) Corpus() *Corpus { return f.corpus }
 
-// Searchers returns the selected searchers in the order of their Configs.
-func (f *Fleet) Searchers(sel Select) []*Searcher {
+// Searchers returns the searchers that match the filter, in the order of their
+// Configs.
+func (f *Fleet) Searchers(sel Filter) []*Searcher {
 	var found []*Searcher
 	for _, s := range f.searchers {
 		if sel.matches(s.cfg) {
@@ -46,7 +49,8 @@
 	return found
 }
 
-// Runs returns the runs of each non-idempotent request over all searchers.
+// Runs returns the number of runs of each non-idempotent request, by request
+// identifier, over all searchers.
 func (f *Fleet) Runs() map[string]int {
 	runs := make(map[string]int)
 	for _, s := range f.searchers {
@@ -57,9 +61,9 @@
 	return runs
 }
 
-func (sel Select) matches(c Config) bool {
-	return fits(sel.Name, c.Name) && fits(sel.Service, c.Service) && fits(sel.Shard, c.Shard) &&
-		fits(sel.Domain, c.Domain) && fits(sel.Version, c.Version)
+func (sel Filter) matches(c Config) bool {
+	return fieldMatches(sel.Name, c.Name) && fieldMatches(sel.Service, c.Service) && fieldMatches(sel.Shard, c.Shard) &&
+		fieldMatches(sel.Domain, c.Domain) && fieldMatches(sel.Version, c.Version)
 }
 
-func fits(want, have string) bool { return want == "" || want == have }
+func fieldMatches(want, have string) bool { return want == "" || want == have }
--- a/standin/searchers/handler.go
+++ b/standin/searchers/handler.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// maxBodyBytes bounds a request body.
+// maxBodyBytes is the size limit of a request body.
 const maxBodyBytes = 1 << 20
 
 type wireSnapshot struct {
@@ -23,18 +23,18 @@
 	ID    string `json:"id"`
 	Shard string `json:"shard"`
 	wireSnapshot
-	Version string  `json:"version"`
-	Hits    []Hit   `json:"hits"`
-	Body    *runLog `json:"body,omitempty"`
+	Version string     `json:"version"`
+	Hits    []Hit      `json:"hits"`
+	Body    *runResult `json:"body,omitempty"`
 }
 
-// runLog is the answer of a non-idempotent request.
-type runLog struct {
+// runResult is the reply body of a non-idempotent request. Ran is the request body.
+type runResult struct {
 	Searcher string `json:"searcher"`
 	Ran      string `json:"ran"`
 }
 
-// stateCold is the state of a searcher in a cold start in health replies.
+// stateCold is the state in the health replies of a searcher in a cold start.
 const stateCold = "cold"
 
 type wireHealth struct {
@@ -55,23 +55,23 @@
 	return mux
 }
 
-func (s *Searcher) serveCall(w http.ResponseWriter, r *http.Request, run bool) {
+func (s *Searcher) serveCall(w http.ResponseWriter, r *http.Request, nonIdempotent bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k := newCall(r, run, body, s.clock)
-	defer k.cancel(nil)
-	o := s.perform(k)
-	if o.broken {
+	c := newCall(r, nonIdempotent, body, s.clock)
+	defer c.cancel(nil)
+	o := s.perform(c)
+	if o.noReply {
 		panic(http.ErrAbortHandler)
 	}
 	s.mu.Lock()
-	w.Header().Set("X-Boot", s.bootLocked())
+	w.Header().Set("X-Boot", s.bootIDLocked())
 	f := s.faults
 	s.mu.Unlock()
-	if o != answered {
+	if o != outcomeOK {
 		if o.reason != "" {
 			w.Header().Set("X-Ran", "no")
 			w.Header().Set("X-Reason", o.reason)
@@ -79,16 +79,16 @@
 		http.Error(w, http.StatusText(o.status), o.status)
 		return
 	}
-	s.writeReply(w, s.reply(k, f), f)
+	s.writeReply(w, s.newReply(c, f), f)
 }
 
 func (s *Searcher) serveCancel(_ http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k := range s.calls {
-		if k.id == id {
-			k.cancel(errCancelled)
+	for c := range s.calls {
+		if c.id == id {
+			c.cancel(errCancelled)
 		}
 	}
 }
@@ -98,18 +98,18 @@
 	h := wireHealth{
 		State:     s.stateLocked(),
 		Version:   s.cfg.Version,
-		Boot:      s.bootLocked(),
+		Boot:      s.bootIDLocked(),
 		InFlight:  s.inFlight,
 		Shard:     s.cfg.Shard,
 		Snapshots: []wireSnapshot{},
 	}
 	if h.State == stateCold {
-		s.noticeLocked()
+		s.recordColdSignLocked()
 	}
 	held := s.snapshots
 	s.mu.Unlock()
-	for _, k := range held {
-		h.Snapshots = append(h.Snapshots, s.announce(k))
+	for _, snapshot := range held {
+		h.Snapshots = append(h.Snapshots, s.describeSnapshot(snapshot))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(h)
@@ -128,16 +128,16 @@
 	}
 }
 
-func (s *Searcher) keys(h Held) Range {
-	low, high := Partition{Layout: h.Layout, Shards: s.cfg.Shards}.Range(s.cfg.Index)
+func (s *Searcher) keyRange(h HeldSnapshot) Range {
+	low, high := PartitionMap{Layout: h.Layout, Shards: s.cfg.Shards}.Range(s.cfg.Index)
 	return Range{Low: low, High: high}
 }
 
-func (s *Searcher) announce(h Held) wireSnapshot {
-	r := s.keys(h)
+func (s *Searcher) describeSnapshot(h HeldSnapshot) wireSnapshot {
+	r := s.keyRange(h)
 	return wireSnapshot{
 		Snapshot:  h.Snapshot,
-		Map:       Partition{Layout: h.Layout, Shards: s.cfg.Shards}.ID(),
+		Map:       PartitionMap{Layout: h.Layout, Shards: s.cfg.Shards}.ID(),
 		Low:       r.Low,
 		High:      r.High,
 		Documents: s.corpus.Count(h.Snapshot, r),
@@ -145,14 +145,14 @@
 	}
 }
 
-func (s *Searcher) reply(k *call, f Faults) wireReply {
-	p := wireReply{ID: k.id, Shard: s.cfg.Shard, wireSnapshot: s.announce(k.held), Version: s.cfg.Version, Hits: []Hit{}}
-	if k.run {
-		p.Body = &runLog{Searcher: s.cfg.Name, Ran: string(k.body)}
+func (s *Searcher) newReply(c *call, f Faults) wireReply {
+	p := wireReply{ID: c.id, Shard: s.cfg.Shard, wireSnapshot: s.describeSnapshot(c.held), Version: s.cfg.Version, Hits: []Hit{}}
+	if c.nonIdempotent {
+		p.Body = &runResult{Searcher: s.cfg.Name, Ran: string(c.body)}
 	} else {
-		p.Hits = s.corpus.Search(k.held.Snapshot, []Range{s.keys(k.held)}, k.body, k.limit)
+		p.Hits = s.corpus.Search(c.held.Snapshot, []Range{s.keyRange(c.held)}, c.body, c.limit)
 	}
-	if s.chance(f.Mislabel) {
+	if s.randomFault(f.Mislabel) {
 		p = mislabel(p, f.MislabelField)
 	}
 	return p
@@ -182,19 +182,19 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	switch {
-	case s.chance(f.Truncate):
+	case s.randomFault(f.Truncate):
 		_, _ = w.Write(data[:len(data)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
-	case s.chance(f.Duplicate):
+	case s.randomFault(f.Duplicate):
 		writeTwice(w, data)
 	default:
 		_, _ = w.Write(data)
 	}
 }
 
-// writeTwice sends the reply twice and keeps the connection open, so that the
-// next request on it meets the second copy.
+// writeTwice sends the reply twice and keeps the connection open, so that a client
+// that reuses the connection reads the second copy as its next reply.
 func writeTwice(w http.ResponseWriter, data []byte) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/standin/searchers/listener.go
+++ b/standin/searchers/listener.go
@@ -5,10 +5,11 @@
 	"sync"
 )
 
-// listener accepts at most the capped number of connections and closes the others.
+// listener resets new connections while the searcher is down or has as many open
+// connections as Config.Connections.
 type listener struct {
 	net.Listener
-	s *Searcher
+	searcher *Searcher
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
@@ -20,7 +21,7 @@
 		if err != nil {
 			return nil, err
 		}
-		c := &conn{Conn: raw, cost: l.s.cfg.ConnectCost, onEnd: l.remove}
+		c := &conn{Conn: raw, connectCost: l.searcher.cfg.ConnectCost, onClose: l.remove}
 		if l.add(c) {
 			return c, nil
 		}
@@ -29,16 +30,16 @@
 }
 
 func (l *listener) add(c *conn) bool {
-	if l.s.isDown() {
+	if l.searcher.isDown() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok := len(l.conns) < l.s.cfg.Connections
+	ok := len(l.conns) < l.searcher.cfg.Connections
 	if ok {
 		l.conns[c] = struct{}{}
 	}
-	l.s.connected(ok, len(l.conns))
+	l.searcher.recordConnection(ok, len(l.conns))
 	return ok
 }
 
@@ -48,7 +49,7 @@
 	delete(l.conns, c)
 }
 
-func (l *listener) all() []*conn {
+func (l *listener) connections() []*conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	conns := make([]*conn, 0, len(l.conns))
--- a/standin/searchers/record.go
+++ b/standin/searchers/record.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Record is what a searcher experienced, by which tests check promises.
+// Record counts what a searcher received and did since it started. Tests use it
+// to check how callers treat a searcher.
 type Record struct {
 	Received    int `json:"received"`
 	Answered    int `json:"answered"`
@@ -15,20 +16,20 @@
 	Crashes     int `json:"crashes"`
 	Collapses   int `json:"collapses"`
 	Connections int `json:"connections"`
-	// RefusedConnections were closed because the cap was reached.
+	// RefusedConnections were reset because Config.Connections was reached.
 	RefusedConnections int `json:"refused_connections"`
 	PeakConnections    int `json:"peak_connections"`
 	PeakInFlight       int `json:"peak_in_flight"`
 	// PeakCold is the highest number of requests in flight during a cold start.
 	PeakCold int `json:"peak_cold"`
-	// PeakColdKnown is the same from noticeGrace after the first sign of the
-	// cold start: a broken connection, a health reply or a slow answer.
+	// PeakColdKnown is the same, counted only from coldSignGrace after the first
+	// sign of the cold start: a broken connection, a health reply or a slow answer.
 	PeakColdKnown int `json:"peak_cold_known"`
-	// AfterDrain counts requests that arrived while draining, and LastAfterDrain
-	// is how long after the drain began the last of them arrived.
+	// AfterDrain counts requests that arrived while draining. LastAfterDrain is
+	// the time from the start of the drain to the arrival of the last of them.
 	AfterDrain     int           `json:"after_drain"`
 	LastAfterDrain time.Duration `json:"last_after_drain_ns"`
-	// Runs counts the runs of each non-idempotent request by identifier.
+	// Runs counts the runs of each non-idempotent request, by request identifier.
 	Runs map[string]int `json:"runs,omitempty"`
 }
 
--- a/standin/searchers/searcher.go
+++ b/standin/searchers/searcher.go
@@ -11,7 +11,7 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// Searcher is one target server.
+// Searcher is one simulated search server.
 type Searcher struct {
 	cfg      Config
 	corpus   *Corpus
@@ -20,25 +20,26 @@
 	listener *listener
 	slots    chan struct{}
 
-	mu        sync.Mutex
-	faults    Faults
-	ran       int // Requests run since the faults are in force.
-	boots     int
-	cold      bool
-	warmed    int           // Answers since the cold start.
-	noticed   time.Duration // First sign of the cold start, 0 before it.
-	collapsed time.Duration // Nothing is answered until this reading of the clock.
-	downUntil time.Duration
-	draining  bool
-	drainedAt time.Duration
-	inFlight  int
-	calls     map[*call]struct{}
-	snapshots []Held
-	record    Record
-	rng       *rand.Rand
-}
-
-// Start listens and serves until Close.
+	mu               sync.Mutex
+	faults           Faults
+	ranWithFaults    int // Requests run since the faults were set.
+	boots            int
+	cold             bool
+	answersSinceCold int           // Answers since the cold start or the last collapse.
+	coldSignAt       time.Duration // Clock reading at the first sign of the cold start; 0 before it.
+	collapsedUntil   time.Duration // Clock reading until which nothing is answered.
+	downUntil        time.Duration
+	draining         bool
+	drainStart       time.Duration
+	inFlight         int
+	calls            map[*call]struct{}
+	snapshots        []HeldSnapshot
+	record           Record
+	rng              *rand.Rand
+}
+
+// Start starts a searcher that serves until Close. It returns an error if the
+// address cannot be listened on.
 func Start(cfg Config, corpus *Corpus) (*Searcher, error) {
 	cfg = cfg.withDefaults()
 	l, err := net.Listen("tcp", cfg.Address)
@@ -57,16 +58,16 @@
 		record:    Record{Runs: make(map[string]int)},
 		rng:       rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
-	s.listener = &listener{Listener: l, s: s, conns: make(map[*conn]struct{})}
+	s.listener = &listener{Listener: l, searcher: s, conns: make(map[*conn]struct{})}
 	s.server = &http.Server{Handler: s.handler()}
 	go func() { _ = s.server.Serve(s.listener) }()
 	return s, nil
 }
 
-// Close stops the server and breaks its connections.
+// Close stops the server and closes its connections.
 func (s *Searcher) Close() {
 	_ = s.server.Close()
-	for _, c := range s.listener.all() {
+	for _, c := range s.listener.connections() {
 		_ = c.Close()
 	}
 }
@@ -77,17 +78,17 @@
 // Address returns the IP address and port that the searcher listens on.
 func (s *Searcher) Address() string { return s.listener.Addr().String() }
 
-// Record returns what the searcher experienced so far.
+// Record returns a copy of the searcher's record.
 func (s *Searcher) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.record.copy()
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Searcher) SetFaults(f Faults) {
 	s.mu.Lock()
-	s.faults, s.ran = f, 0
+	s.faults, s.ranWithFaults = f, 0
 	s.mu.Unlock()
 	if f.Down {
 		s.abortConnections()
@@ -96,38 +97,41 @@
 
 // SetSnapshots replaces the snapshots that the searcher holds, for example to
 // announce a new one, to drop an old one or to repartition.
-func (s *Searcher) SetSnapshots(held []Held) {
+func (s *Searcher) SetSnapshots(held []HeldSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.snapshots = append([]Held(nil), held...)
+	s.snapshots = append([]HeldSnapshot(nil), held...)
 }
 
-// Drain begins to refuse work, or ends that.
-func (s *Searcher) Drain(draining bool) {
+// SetDraining starts or ends a drain, during which the searcher refuses requests.
+func (s *Searcher) SetDraining(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.draining, s.drainedAt = draining, s.clock.Boot()
+	s.draining, s.drainStart = draining, s.clock.Boot()
 }
 
-// Chill puts the searcher into a cold start without a restart.
-func (s *Searcher) Chill() {
+// BeginColdStart puts the searcher into a cold start without a restart and without
+// a sign that callers could detect.
+func (s *Searcher) BeginColdStart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cold, s.warmed, s.noticed = true, 0, 0
+	s.cold, s.answersSinceCold, s.coldSignAt = true, 0, 0
 }
 
-// Silence makes all connections that are established now silent for good.
-func (s *Searcher) Silence() {
-	for _, c := range s.listener.all() {
+// SilenceConnections makes all open connections permanently silent. New
+// connections work.
+func (s *Searcher) SilenceConnections() {
+	for _, c := range s.listener.connections() {
 		c.silent.Store(true)
 	}
 }
 
-// Crash breaks all connections and restarts cold after Config.RestartTime.
+// Crash resets all connections. The searcher restarts in a cold start after
+// Config.RestartTime.
 func (s *Searcher) Crash() {
 	s.mu.Lock()
 	s.boots++
-	s.cold, s.warmed, s.noticed = true, 0, s.clock.Boot()
+	s.cold, s.answersSinceCold, s.coldSignAt = true, 0, s.clock.Boot()
 	s.downUntil = s.clock.Boot() + s.cfg.RestartTime
 	s.record.Crashes++
 	s.mu.Unlock()
@@ -135,7 +139,7 @@
 }
 
 func (s *Searcher) abortConnections() {
-	for _, c := range s.listener.all() {
+	for _, c := range s.listener.connections() {
 		c.abort()
 	}
 }
@@ -143,14 +147,14 @@
 func (s *Searcher) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.downLocked()
+	return s.isDownLocked()
 }
 
-func (s *Searcher) downLocked() bool {
+func (s *Searcher) isDownLocked() bool {
 	return s.faults.Down || s.clock.Boot() < s.downUntil
 }
 
-func (s *Searcher) connected(accepted bool, open int) {
+func (s *Searcher) recordConnection(accepted bool, open int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !accepted {
@@ -161,17 +165,17 @@
 	s.record.PeakConnections = max(s.record.PeakConnections, open)
 }
 
-// noticeLocked records a sign of the cold start that the other side receives now.
-func (s *Searcher) noticeLocked() {
-	if s.cold && s.noticed == 0 {
-		s.noticed = s.clock.Boot()
+// recordColdSignLocked records that callers can detect the cold start from now on.
+func (s *Searcher) recordColdSignLocked() {
+	if s.cold && s.coldSignAt == 0 {
+		s.coldSignAt = s.clock.Boot()
 	}
 }
 
-func (s *Searcher) bootLocked() string { return fmt.Sprintf("%s-%d", s.cfg.Name, s.boots) }
+func (s *Searcher) bootIDLocked() string { return fmt.Sprintf("%s-%d", s.cfg.Name, s.boots) }
 
-// chance draws a random fault.
-func (s *Searcher) chance(ratio float64) bool {
+// randomFault reports whether to inject a fault with the given probability.
+func (s *Searcher) randomFault(ratio float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return ratio > 0 && s.rng.Float64() < ratio
