--- a/standin/cmd/load/main.go
+++ b/standin/cmd/load/main.go
@@ -1,5 +1,6 @@
 // Command load sends requests to running daemons at a fixed rate, checks the
-// answers and prints a Markdown table. It exits 1 when an answer is false.
+// answers and prints a Markdown table. It exits 1 if the check finds a violation
+// or the run fails.
 package main
 
 import (
--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs daemons as processes under random faults and reports
-// violated promises. The exit code is 1 if there are any.
+// Command soak runs daemons as processes under random faults and reports the
+// guarantees that they violate. It exits 1 if there is a violation or a run fails.
 package main
 
 import (
@@ -30,16 +30,16 @@
 	kong.Parse(&c, kong.Description("Runs daemons under random faults and checks what callers and targets see."))
 	failed := 0
 	for seed := c.From; seed < c.From+int64(c.Seeds); seed++ {
-		bad, err := c.play(seed)
+		violations, err := c.runSeed(seed)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "seed %d: %v\n", seed, err)
 			os.Exit(1)
 		}
-		fmt.Printf("seed %d: %d violations\n", seed, len(bad))
-		for _, b := range bad {
-			fmt.Println("  " + b)
+		fmt.Printf("seed %d: %d violations\n", seed, len(violations))
+		for _, v := range violations {
+			fmt.Println("  " + v)
 		}
-		if len(bad) > 0 {
+		if len(violations) > 0 {
 			failed++
 		}
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (c cli) play(seed int64) ([]string, error) {
+func (c cli) runSeed(seed int64) ([]string, error) {
 	dir := filepath.Join(c.Logs, fmt.Sprint(seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
@@ -63,9 +63,9 @@
 	if c.Verbose {
 		out = io.MultiWriter(f, os.Stdout)
 	}
-	bad, err := soak.Run(soak.NewConfig(c.Binary, dir, c.Daemons, c.Length, c.Apply), seed, out)
-	if err == nil && len(bad) == 0 {
+	violations, err := soak.Run(soak.NewConfig(c.Binary, dir, c.Daemons, c.Length, c.Apply), seed, out)
+	if err == nil && len(violations) == 0 {
 		return nil, os.RemoveAll(dir)
 	}
-	return bad, err
+	return violations, err
 }
--- a/standin/cmd/standin/doc.go
+++ b/standin/cmd/standin/doc.go
@@ -1,3 +1,3 @@
-// Command standin runs stand-ins for the object store, the VM list and
-// searchers on this machine, for trials and tests by hand.
+// Command standin runs stand-ins for the object store, the VM list and the
+// searchers on this machine, for trials and manual tests.
 package main
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -28,7 +28,8 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// serve prints the address as "<name> <address>" and serves until ctx ends.
+// serve listens on address, prints "<name> <address>" with the actual address and
+// serves h until ctx is done.
 func serve(ctx context.Context, name, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -39,7 +40,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("serve %s: %w", name, err)
 	}
 	return nil
 }
--- a/standin/cmd/standin/searchers.go
+++ b/standin/cmd/standin/searchers.go
@@ -20,10 +20,11 @@
 	ServiceTime time.Duration `default:"10ms" help:"With --catalogue: mean service time."`
 }
 
-// Run serves the searchers and prints one line for each:
+// Run serves the searchers and their admin endpoint, and prints one line for each
+// searcher:
 // "searcher <name> <service> <shard> <version> <domain> <address>".
 func (c searchersCommand) Run(ctx context.Context) error {
-	corpus, configs, err := c.load()
+	corpus, configs, err := c.loadConfigs()
 	if err != nil {
 		return err
 	}
@@ -39,7 +40,7 @@
 	return serve(ctx, "admin", c.Admin, searchers.NewAdmin(fleet))
 }
 
-func (c searchersCommand) load() (*searchers.Corpus, []searchers.Config, error) {
+func (c searchersCommand) loadConfigs() (*searchers.Corpus, []searchers.Config, error) {
 	if c.Estate != "" {
 		estate, err := searchers.LoadEstate(c.Estate)
 		return estate.Corpus(), estate.Configs(), err
--- a/standin/cmd/standin/vms.go
+++ b/standin/cmd/standin/vms.go
@@ -13,7 +13,7 @@
 	Lag    time.Duration `help:"Time after which changes become visible."`
 }
 
-// Run serves a list that is empty until VMs are added by POST /admin/vms.
+// Run serves a VM list that is empty until POST /admin/vms adds VMs.
 func (c vmsCommand) Run(ctx context.Context) error {
 	s := vms.NewServer(clock.System{})
 	s.SetLag(c.Lag)
