--- a/standin/load/answer_log.go
+++ b/standin/load/answer_log.go
@@ -31,8 +31,8 @@
 		if n > 1 {
 			violations = append(violations, fmt.Sprintf("request %q ran %d times", id, n))
 		}
-		if f := contradiction(answers, n); f != "" {
-			violations = append(violations, fmt.Sprintf("request %q: %s", id, f))
+		if c := contradiction(answers, n); c != "" {
+			violations = append(violations, fmt.Sprintf("request %q: %s", id, c))
 		}
 	}
 	return violations
--- a/standin/load/generator.go
+++ b/standin/load/generator.go
@@ -73,9 +73,9 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for i := range g.cfg.Count {
-		intended := start.Add(time.Duration(float64(i) / g.cfg.Rate * float64(time.Second)))
+		scheduled := start.Add(time.Duration(float64(i) / g.cfg.Rate * float64(time.Second)))
 		select {
-		case <-time.After(time.Until(intended)):
+		case <-time.After(time.Until(scheduled)):
 		case <-ctx.Done():
 			return
 		}
@@ -89,10 +89,10 @@
 		wg.Go(func() {
 			defer func() { <-inFlight }()
 			if planned.nonIdempotent {
-				g.run(ctx, planned, intended)
+				g.run(ctx, planned, scheduled)
 				return
 			}
-			g.query(ctx, planned, intended)
+			g.query(ctx, planned, scheduled)
 		})
 	}
 }
@@ -126,14 +126,14 @@
 	return p
 }
 
-func (g *generator) query(ctx context.Context, p plannedRequest, intended time.Time) {
+func (g *generator) query(ctx context.Context, p plannedRequest, scheduled time.Time) {
 	first, _, err := g.addresses.pick(ctx)
 	if err != nil {
 		g.report.addAnswer(g.report.queryLatency, wireAnswer{Kind: kindNoAddress}, 0, false)
 		return
 	}
 	a := g.sender.send(first, "/v1/query", p.request)
-	latency := time.Since(intended)
+	latency := time.Since(scheduled)
 	g.expireAddressesAfter(a)
 	if a.Kind == "" {
 		g.report.addViolation(g.checker.violation(p.request, a))
@@ -143,7 +143,7 @@
 
 // run sends a non-idempotent request. With resend, a copy goes to the same daemon
 // while the first is in flight, and another copy to the second daemon afterwards.
-func (g *generator) run(ctx context.Context, p plannedRequest, intended time.Time) {
+func (g *generator) run(ctx context.Context, p plannedRequest, scheduled time.Time) {
 	first, second, err := g.addresses.pick(ctx)
 	if err != nil {
 		g.report.addAnswer(g.report.runLatency, wireAnswer{Kind: kindNoAddress}, 0, false)
@@ -155,7 +155,7 @@
 		wg.Go(func() { g.sendRun(first, p.request) })
 	}
 	a := g.sendRun(first, p.request)
-	latency := time.Since(intended)
+	latency := time.Since(scheduled)
 	g.expireAddressesAfter(a)
 	wg.Wait()
 	if p.resend {
@@ -198,8 +198,8 @@
 	if err := fetchJSON("http://"+g.cfg.Searchers+"/admin/runs", &runs); err != nil {
 		return err
 	}
-	for _, f := range g.answers.violations(runs) {
-		g.report.addViolation(f)
+	for _, v := range g.answers.violations(runs) {
+		g.report.addViolation(v)
 	}
 	return nil
 }
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -94,8 +94,8 @@
 		if h.TotalCount() == 0 {
 			return
 		}
-		for _, q := range []float64{50, 95, 99} {
-			row(fmt.Sprintf("%s p%g", name, q), "%.1f ms", milliseconds(percentile(h, q)))
+		for _, p := range []float64{50, 95, 99} {
+			row(fmt.Sprintf("%s p%g", name, p), "%.1f ms", milliseconds(percentile(h, p)))
 		}
 		row(name+" max", "%.1f ms", milliseconds(time.Duration(h.Max())*time.Microsecond))
 	}
@@ -105,13 +105,13 @@
 	for _, kind := range sortedKeys(r.refused) {
 		row("refused "+kind, "%d", r.refused[kind])
 	}
-	if w := r.searchers; w != nil {
-		row("sub-requests", "%d", w.Received)
-		row("refused connections", "%d", w.RefusedConnections)
-		row("crashes", "%d", w.Crashes)
-		row("collapses in a cold start", "%d", w.Collapses)
-		row("peak in flight in a known cold start", "%d", w.PeakColdKnown)
-		row("work after a drain", "%d, last after %.1f s", w.AfterDrain, w.LastAfterDrain.Seconds())
+	if totals := r.searchers; totals != nil {
+		row("sub-requests", "%d", totals.Received)
+		row("refused connections", "%d", totals.RefusedConnections)
+		row("crashes", "%d", totals.Crashes)
+		row("collapses in a cold start", "%d", totals.Collapses)
+		row("peak in flight in a known cold start", "%d", totals.PeakColdKnown)
+		row("work after a drain", "%d, last after %.1f s", totals.AfterDrain, totals.LastAfterDrain.Seconds())
 	}
 	if r.extraSends != nil {
 		row("hedges", "%d", r.extraSends.Hedges)
--- a/standin/load/sender.go
+++ b/standin/load/sender.go
@@ -32,7 +32,7 @@
 }
 
 // send always returns an answer. If sending or decoding fails, the answer has a
-// client kind, and Ran is unknown unless the request was never sent.
+// client kind, and Ran is unknown unless the request could not be encoded.
 func (s *sender) send(e endpoint, path string, r wireRequest) wireAnswer {
 	body, err := json.Marshal(r)
 	if err != nil {
--- a/standin/searchers/searcher_test.go
+++ b/standin/searchers/searcher_test.go
@@ -143,7 +143,7 @@
 	s := startSearcher(t, Config{})
 	old := &http.Client{Timeout: 100 * time.Millisecond, Transport: &http.Transport{}}
 	if status, _, _ := post(s, old, "/v1/search", "a", "q"); status != 200 {
-		t.Fatal("no answer before the silence")
+		t.Fatal("no answer before SilenceConnections")
 	}
 	s.SilenceConnections()
 	if status, err, _ := post(s, old, "/v1/search", "b", "q"); status != 0 {
