--- a/query/cluster_test.go
+++ b/query/cluster_test.go
@@ -138,15 +138,15 @@
 // successRate returns the share of the replies that are a success within limit,
 // and the share of parts that these replies contain.
 func successRate(replies []reply, limit time.Duration) (inTime, coverage float64) {
-	n, parts, of := 0, 0, 0
+	n, parts, expected := 0, 0, 0
 	for _, r := range replies {
 		if m := r.answer.Merged(); m != nil && r.took <= limit {
 			n++
 			parts += r.parts
-			of += r.parts + m.Missing()
+			expected += r.parts + m.Missing()
 		}
 	}
-	return float64(n) / float64(max(len(replies), 1)), float64(parts) / float64(max(of, 1))
+	return float64(n) / float64(max(len(replies), 1)), float64(parts) / float64(max(expected, 1))
 }
 
 // extraSends returns the average number of sends beyond the first per shard and
--- a/query/cold_test.go
+++ b/query/cold_test.go
@@ -30,8 +30,8 @@
 				t.Errorf("refused as %s after %v with retry after %v, want no_searcher within 5 ms with a retry time", f.Kind(), r.took, r.answer.RetryAfter())
 			}
 		}
-		// The limit is 4 requests per second for each of two targets, of which
-		// daemons use 0.8.
+		// Each of the two targets may get 4 requests per second; daemons use a
+		// fraction of 0.8 of that.
 		if answered < 50 {
 			t.Errorf("%d of %d requests were answered, want 50 or more", answered, len(replies))
 		}
--- a/query/defer.go
+++ b/query/defer.go
@@ -12,8 +12,8 @@
 // deferSlowParts finds the shards that would probably miss the objective
 // because all their targets are slow, silent or busy. If more shards are slow
 // than may be missing, it defers the parts of those without an idle target. If
-// every request went to all slow shards, their targets would answer none in
-// time, but a request needs only enough of them for its coverage.
+// every request went to all slow shards, none would be answered in time; yet a
+// request needs only some of these shards to reach its coverage.
 func (r *run) deferSlowParts(parts []*part, needed int, now time.Time) {
 	limit := r.objective.Sub(now)
 	if limit <= 0 {
--- a/query/engine.go
+++ b/query/engine.go
@@ -126,14 +126,14 @@
 }
 
 const (
-	// maxCrashes is the number of crashes from which equal requests are
+	// maxCrashes is the number of crashes after which equal requests are
 	// refused.
 	maxCrashes = 2
 	// crashWindow is the time within which crashes count as one, because a
 	// request runs on targets of all shards at the same time.
 	crashWindow = 700 * time.Millisecond
-	// poisonedRetryAfter is the time after which a caller may retry a refused
-	// suspect.
+	// poisonedRetryAfter is the time after which a caller may retry a request
+	// that was refused because of its crashes.
 	poisonedRetryAfter = time.Second
 )
 
@@ -150,26 +150,26 @@
 		Msg("target crashed while it worked on a request")
 }
 
-// Do answers one request, which arrived at started and whose caller waits for
-// callerTimeout. If ctx ends because the caller has left, it returns a refusal
-// at once.
+// Do answers one request of a route of t. The request arrived at started; from
+// then on its caller waits for callerTimeout. If ctx ends because the caller
+// has left, Do returns a refusal at once.
 func (e *Engine) Do(ctx context.Context, t *route.Table, r *route.Route, request *targets.Request, started time.Time, callerTimeout time.Duration) Answer {
 	stats := e.routeStats(r)
 	elapsed := time.Duration(stats.timeouts.estimateElapsed(callerTimeout.Milliseconds())) * time.Millisecond
-	req := &run{
+	current := &run{
 		Engine: e, route: r, request: request, stats: stats, started: started,
 		schedule: newSchedule(r, started, callerTimeout, elapsed, stats.latency.Median()),
 	}
 	var a Answer
-	req.suspectCrashes = e.suspects.Crashes(request.Fingerprint())
-	if req.suspectCrashes >= maxCrashes {
+	current.suspectCrashes = e.suspects.Crashes(request.Fingerprint())
+	if current.suspectCrashes >= maxCrashes {
 		a = refuse(refusal.Poisoned, poisonedRetryAfter, "equal requests crashed targets twice")
 	} else if r.Sharded() {
-		a = req.gather(ctx)
+		a = current.gather(ctx)
 	} else {
-		a = req.single(ctx, r.NextService())
+		a = current.single(ctx, r.NextService())
 	}
-	e.recordOutcome(req, a, t.Version())
+	e.recordOutcome(current, a, t.Version())
 	return a
 }
 
--- a/query/gather.go
+++ b/query/gather.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxSends bounds the calls of one part, including those that targets
-	// refuse, and thereby the results that it can produce.
+	// refuse, and thereby the buffer that its results need.
 	maxSends = 8
 	// recheckInterval is the delay before a shard without an available target
 	// is tried again.
--- a/query/load_test.go
+++ b/query/load_test.go
@@ -25,7 +25,7 @@
 // objective is the objective of the route in these tests.
 const objective = 100 * time.Millisecond
 
-// recordSize is the size of one record in bytes.
+// recordSize equals the constant recordBytes of package query.
 const recordSize = 16
 
 // Guards against answers that miss their objective because at any time one of
@@ -100,15 +100,16 @@
 
 // Guards against overloading slow shards: if every request waits for all of
 // them, they answer none in time, although each request needs only some of
-// them. Four of 20 shards have only targets that take twelve times as long; 18
-// parts are needed. A daemon sends slow targets one request at a time, so the
-// four shards serve 60 parts per second. Of the 80 parts per second that could
-// be requested, 40 are enough.
+// them.
 func TestGatherDefersSlowShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCluster(t, 12, 20, behaviour())
 		defer c.close()
 		c.load(20, 3*time.Second)
+		// The targets of 4 of the 20 shards become 12 times slower; a request
+		// needs 18 parts. A slow target gets one request at a time, so the 4
+		// shards serve 60 parts per second. The load of 20 requests per second
+		// could ask them for 80 parts per second, of which 40 are enough.
 		for i := range 4 {
 			for _, tgt := range c.targets[fmt.Sprintf("shard%d", i)] {
 				tgt.SetBehaviour(behaviour(shards.Slow(12)))
@@ -197,14 +198,14 @@
 func checkMerged(t *testing.T, id string, m *query.Merged, count int) {
 	t.Helper()
 	if len(m.Stamps())+m.Missing() != count {
-		t.Errorf("%s: %d parts and %d missing do not make %d", id, len(m.Stamps()), m.Missing(), count)
+		t.Errorf("%s: %d parts and %d missing, want %d in all", id, len(m.Stamps()), m.Missing(), count)
 	}
 	var all [][]byte
 	seen := make(map[string]bool)
 	for _, stamp := range m.Stamps() {
 		var shard, replica int
-		var of string
-		if _, err := fmt.Sscanf(stamp, "shard%d-%d.%s", &shard, &replica, &of); err != nil || of != id {
+		var requestID string
+		if _, err := fmt.Sscanf(stamp, "shard%d-%d.%s", &shard, &replica, &requestID); err != nil || requestID != id {
 			t.Fatalf("%s: signature %q is not of this request", id, stamp)
 		}
 		if key := fmt.Sprint(shard); seen[key] {
--- a/query/run.go
+++ b/query/run.go
@@ -44,7 +44,8 @@
 	failure *targets.Call // The last call with a complete answer that reports a failure.
 }
 
-// maxRefused bounds the calls of one part that targets refuse.
+// maxRefused is the greatest number of refused calls after which a part is sent
+// to another target.
 const maxRefused = 2
 
 // attempt submits a call of the part and reports whether it was accepted. A
--- a/query/throttle.go
+++ b/query/throttle.go
@@ -11,8 +11,8 @@
 	// request produces up to 50 lines.
 	linesPerSecond = 100
 	lineBurst      = 400
-	// sampleEvery is the number of successes without anomalies of which one is
-	// logged.
+	// sampleEvery is the sampling interval of successes without anomalies: one
+	// of that many is logged.
 	sampleEvery = 200
 )
 
