--- a/route/option.go
+++ b/route/option.go
@@ -22,8 +22,9 @@
 // default and minimum is 1.
 func MaxTargets(n int) Option { return func(r *Route) { r.maxTargets = max(n, 1) } }
 
-// Sharded sends each request to all shards. The answer holds the greatest top
-// records and needs parts from at least the fraction minCoverage of the shards.
+// Sharded sends each request to all shards. The answer holds the greatest
+// records of all parts, at most top of them, and needs parts from at least the
+// fraction minCoverage of the shards.
 func Sharded(shards []string, top int, minCoverage float64) Option {
 	return func(r *Route) { r.shards, r.topRecords, r.minCoverage = shards, top, minCoverage }
 }
--- a/route/table.go
+++ b/route/table.go
@@ -8,24 +8,24 @@
 
 // Table is one version of the configuration. It is immutable.
 type Table struct {
-	version  uint64
-	limits   Limits
-	hosts    map[string][]*Route
-	services map[string]*Service
-	names    map[string]bool // Names of all routes.
+	version    uint64
+	limits     Limits
+	hosts      map[string][]*Route
+	services   map[string]*Service
+	routeNames map[string]bool
 }
 
 // NewTable returns a configuration with the given version.
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) *Table {
 	t := &Table{
-		version:  version,
-		limits:   limits,
-		hosts:    make(map[string][]*Route),
-		services: make(map[string]*Service, len(services)),
-		names:    make(map[string]bool, len(routes)),
+		version:    version,
+		limits:     limits,
+		hosts:      make(map[string][]*Route),
+		services:   make(map[string]*Service, len(services)),
+		routeNames: make(map[string]bool, len(routes)),
 	}
 	for _, r := range routes {
-		t.names[r.name] = true
+		t.routeNames[r.name] = true
 		t.hosts[r.host] = append(t.hosts[r.host], r)
 	}
 	for _, rs := range t.hosts {
@@ -52,7 +52,7 @@
 func (t *Table) Services() map[string]*Service { return t.services }
 
 // HasRoute reports whether there is a route of the given name.
-func (t *Table) HasRoute(name string) bool { return t.names[name] }
+func (t *Table) HasRoute(name string) bool { return t.routeNames[name] }
 
 // Match returns the route of host whose prefix is the longest prefix of path,
 // or nil.
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// UsedServices returns the set of names of services that at least one route uses.
+// UsedServices returns the names of the services that at least one route uses.
 func (t *Table) UsedServices() map[string]bool {
 	used := make(map[string]bool)
 	for _, rs := range t.hosts {
