--- a/upgrade/move.go
+++ b/upgrade/move.go
@@ -40,9 +40,9 @@
 	RolledBack State = "rolled back"
 )
 
-// NextState returns the next state of a move. Elapsed is the time since the order,
-// duration the time that the order allows for the move. The tallies count the
-// answers seen by all daemons.
+// NextState returns the next state of a move. Elapsed is the time since the
+// order, duration the time that the order allows for the move. The tallies
+// count the answers seen by all daemons.
 func NextState(current State, elapsed, duration time.Duration, oldTally, newTally Tally) State {
 	switch {
 	case current != Running:
