--- a/cell/bench_test.go
+++ b/cell/bench_test.go
@@ -54,7 +54,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if r, _ := c.HandleHeartbeat(context.Background(), in); !r.Accepted {
-					b.Fatal("not accepted")
+					b.Fatal("heartbeat not accepted")
 				}
 			}
 			b.ReportMetric(float64(wireBytes(b, peer.Handlers{Heartbeat: c.HandleHeartbeat}, func(p *peer.Client, address string) error {
--- a/cell/conflict.go
+++ b/cell/conflict.go
@@ -11,7 +11,7 @@
 	case d.Generation == x.doc.Generation && d.Token != x.doc.Token:
 		return eris.Errorf("another configuration with generation %d is in force already", d.Generation)
 	case d.Generation > x.doc.Generation && d.Generation-x.doc.Generation > maxStep:
-		return eris.Errorf("generation %d is too far ahead of %d", d.Generation, x.doc.Generation)
+		return eris.Errorf("generation %d is more than %d ahead of %d", d.Generation, maxStep, x.doc.Generation)
 	}
 	return nil
 }
--- a/cell/contact.go
+++ b/cell/contact.go
@@ -10,8 +10,8 @@
 	storeOK   bool          // The last store call succeeded.
 }
 
-// recordStoreContact records the result of a store call.
-func (c *Cell) recordStoreContact(now time.Duration, ok bool) {
+// recordStoreContactLocked records the result of a store call.
+func (c *Cell) recordStoreContactLocked(now time.Duration, ok bool) {
 	c.contact.storeOK = ok
 	if ok {
 		c.contact.lastStore = now
--- a/cell/doc.go
+++ b/cell/doc.go
@@ -15,8 +15,8 @@
 //   - A home that is new in an epoch has the reserved share until the epoch is
 //     settled. An epoch is settled once each possible home of an earlier epoch has
 //     acknowledged that its homes stopped, or its lease has expired and it cannot
-//     have a lease from a majority. A release that the only earlier home confirms
-//     settles single groups.
+//     have a lease from a majority. A single group is settled earlier if its only
+//     earlier home confirms that it stopped.
 //   - Without a leader, a majority of the members that knows no later epoch extends
 //     leases. A later epoch settles only after a majority of its base, the members of
 //     the last settled epoch, has acknowledged it. The two majorities share a daemon,
--- a/cell/document.go
+++ b/cell/document.go
@@ -61,7 +61,7 @@
 	case d.Generation == 0:
 		return eris.New("configuration has no generation")
 	case d.Token == "" || len(d.Token) > maxName || len(d.Author) > maxName:
-		return eris.New("configuration token is missing or too long, or its author is too long")
+		return eris.Errorf("configuration has a token of %d bytes and an author of %d bytes; the limits are 1 to %d and %d", len(d.Token), len(d.Author), maxName, maxName)
 	case len(d.Text) > maxObject:
 		return eris.Errorf("configuration text has %d bytes, the limit is %d", len(d.Text), maxObject)
 	}
--- a/cell/document_test.go
+++ b/cell/document_test.go
@@ -21,15 +21,15 @@
 	d, err := DecodeDocument(value)
 	want := Document{Generation: 3, Token: "token", Text: "text <&>", Author: "author", Time: applied}
 	if err != nil || d != want {
-		t.Fatalf("%+v, %v; want %+v", d, err, want)
+		t.Fatalf("decoded %+v, %v; want %+v", d, err, want)
 	}
 	if d, err = documentOf(d.wire()); err != nil || d != want {
-		t.Errorf("after transfer to a peer %+v, %v", d, err)
+		t.Errorf("after transfer to a peer %+v, %v; want %+v", d, err, want)
 	}
 	if value, err = d.Encode(); err != nil {
 		t.Fatal(err)
 	}
 	if back, err := publish.Decode(value); err != nil || back != current {
-		t.Errorf("read back %+v, %v; want %+v", back, err, current)
+		t.Errorf("decoded by publish %+v, %v; want %+v", back, err, current)
 	}
 }
--- a/cell/elect.go
+++ b/cell/elect.go
@@ -24,8 +24,9 @@
 	versionSince time.Duration // When that version was first seen.
 }
 
-// electLocked starts a read of the cell object if no leader grants leases and the next
-// read is due.
+// electLocked starts a read of the cell object when the next one is due and no leader
+// grants leases. The first candidate does not wait for grantTimeout if the known leader
+// rejects its heartbeats.
 func (c *Cell) electLocked(now time.Duration) {
 	x := &c.election
 	if c.leader != nil || c.leaving || x.running {
@@ -71,8 +72,8 @@
 	return len(list)
 }
 
-// checkObject reads the cell object and takes over if its leader has not renewed it
-// for longer than the store lease.
+// checkObject reads the cell object and takes over if the leader has released it,
+// yields, or has not renewed it for longer than the store lease.
 func (c *Cell) checkObject(rank int) {
 	obj, err := c.get(c.objectKey())
 	now := c.cfg.clk.Boot()
@@ -139,7 +140,7 @@
 }
 
 // successorMembershipLocked returns the first epoch of the next term, or nil if there
-// can be none. Only the object tells whether the last epoch was settled.
+// can be none. Only the object records whether the last epoch was settled.
 func (c *Cell) successorMembershipLocked(o *cellObject, m *membership) *membership {
 	v := c.view.membership
 	settled := m != nil && o.Settled
@@ -156,8 +157,8 @@
 		self := []Member{c.self}
 		return &membership{
 			cell: c.cfg.cell, term: 1, epoch: 1, leader: c.self, members: self,
-			// With an empty base, the next epoch could settle without any
-			// acknowledgement, although this daemon alone is a majority of this one.
+			// This daemon alone is a majority of this epoch and may extend its own
+			// lease, so the next epoch needs its acknowledgement to settle.
 			base:       self,
 			generation: c.configuration.doc.Generation, digest: c.configuration.digest(),
 		}
@@ -173,7 +174,7 @@
 		return x.Name() == c.self.Name()
 	})
 	next.members = append(next.members, c.self)
-	if len(next.members) > maxMembers || len(next.previous) > maxHolders {
+	if len(next.members) > maxMembers || len(next.previous) > maxPrevious {
 		return nil
 	}
 	return &next
--- a/cell/handoff.go
+++ b/cell/handoff.go
@@ -22,7 +22,7 @@
 	previousHomes []*previousHome
 }
 
-// previousHome is a member that was home of groups in the epoch before.
+// previousHome is a member that was home of groups in the previous epoch.
 type previousHome struct {
 	member      Member
 	groups      []string // IDs of the groups that it was home of.
--- a/cell/heartbeat.go
+++ b/cell/heartbeat.go
@@ -13,7 +13,7 @@
 	next            time.Duration
 	inFlight        int
 	lastGrant       time.Duration // When the last lease grant arrived; 0 before the first.
-	refusedByLeader bool          // The member known as leader did not grant the last lease.
+	refusedByLeader bool          // The leader of the current epoch rejected the last heartbeat.
 }
 
 // grantOverdue reports whether no leader has granted a lease for grantTimeout.
--- a/cell/invalidinput_test.go
+++ b/cell/invalidinput_test.go
@@ -32,7 +32,7 @@
 		f.st.set(CatalogueKey, []byte(value))
 		f.requireDuring(time.Second, name, f.checkConverged)
 		if meter.CounterValue("cell.refused.configuration") == before {
-			t.Errorf("%s: not counted", name)
+			t.Errorf("%s: rejection not counted", name)
 		}
 	}
 	f.st.set(CatalogueKey, []byte(`{"generation":0}`))
@@ -96,7 +96,7 @@
 		"nil member":    func(m *peerpb.Membership) { m.Members = append(m.Members, nil) },
 		"twice":         func(m *peerpb.Membership) { m.Members = append(m.Members, m.Members[0]) },
 		"long name":     func(m *peerpb.Membership) { m.Members[0].Domain = strings.Repeat("x", maxName+1) },
-		"many previous": func(m *peerpb.Membership) { m.Previous = make([]*peerpb.Member, maxHolders+1) },
+		"many previous": func(m *peerpb.Membership) { m.Previous = make([]*peerpb.Member, maxPrevious+1) },
 		"no base":       func(m *peerpb.Membership) { m.Base = nil },
 		"base ahead":    func(m *peerpb.Membership) { m.BaseEpoch = m.Epoch },
 	} {
@@ -107,7 +107,7 @@
 			t.Fatal(err)
 		}
 		if n.cell.view.membership.epoch >= good.Epoch || meter.CounterValue("cell.refused.membership") == before {
-			t.Errorf("%s: adopted or not counted", name)
+			t.Errorf("%s: membership adopted or rejection not counted", name)
 		}
 	}
 	for name, in := range map[string]*peerpb.HeartbeatRequest{
--- a/cell/leaderstate.go
+++ b/cell/leaderstate.go
@@ -59,8 +59,8 @@
 // mayGrant reports whether the leader may grant leases to members.
 func (l *leaderState) mayGrant(now time.Duration) bool { return !l.leaseReleased && now < l.lease }
 
-// handleHeartbeatLocked returns the reply to a heartbeat. Only the leader accepts it,
-// which grants the sender a lease.
+// handleHeartbeatLocked returns the reply to a heartbeat. Accepting a heartbeat grants
+// the sender a lease, so only a leader with a valid store lease accepts any.
 func (c *Cell) handleHeartbeatLocked(now time.Duration, in *peerpb.HeartbeatRequest) *peerpb.HeartbeatReply {
 	r := &peerpb.HeartbeatReply{Generation: c.configuration.doc.Generation, SeesStore: c.contact.seesStore(now)}
 	m := c.view.membership
@@ -105,7 +105,7 @@
 	if !ok {
 		if h := l.heartbeats[id]; h != nil {
 			h.releasedEpoch = max(h.releasedEpoch, epoch)
-		} else if _, held := findMember(l.current.previous, id); held {
+		} else if _, previous := findMember(l.current.previous, id); previous {
 			l.heartbeats[id] = &heartbeatRecord{releasedEpoch: epoch}
 		}
 		// A daemon that considers itself a member sends only its identity. It sends
@@ -264,7 +264,7 @@
 	if l.settled {
 		next.base, next.baseEpoch = stayingMembers(l.current.members), l.current.epoch
 	}
-	if len(next.previous) > maxHolders {
+	if len(next.previous) > maxPrevious {
 		meter.Count("cell.epoch.deferred", 1)
 		return nil
 	}
@@ -339,7 +339,8 @@
 }
 
 // trackMajority records since when the silent members have been a majority, which
-// could elect another leader. It makes the write of a changed yields due at once.
+// could elect another leader. The next renewal becomes due at once if it must change
+// whether the object says that the leader yields.
 func (l *leaderState) trackMajority(now time.Duration) {
 	list := stayingMembers(l.current.members)
 	silent := 0
--- a/cell/limits.go
+++ b/cell/limits.go
@@ -84,8 +84,8 @@
 	maxHeartbeats = 3
 	// maxMembers limits the members of a cell.
 	maxMembers = 128
-	// maxHolders limits the list of previous members.
-	maxHolders = 4 * maxMembers
+	// maxPrevious limits the list of previous members.
+	maxPrevious = 4 * maxMembers
 	// maxStep limits by how much term, epoch and generation may increase at once. They
 	// never decrease, so a larger step from a corrupt or hostile message would stay in
 	// force permanently.
--- a/cell/membership.go
+++ b/cell/membership.go
@@ -52,9 +52,9 @@
 	case m.cell != cell:
 		return eris.Errorf("membership belongs to cell %q, not %q", m.cell, cell)
 	case m.term == 0 || m.epoch == 0 || m.baseEpoch >= m.epoch:
-		return eris.Errorf("membership has term %d, epoch %d, base %d", m.term, m.epoch, m.baseEpoch)
-	case len(m.members) == 0 || len(m.members) > maxMembers || len(m.base) == 0 || len(m.base) > maxMembers || len(m.previous) > maxHolders:
-		return eris.Errorf("membership has %d members, %d base members and %d previous members", len(m.members), len(m.base), len(m.previous))
+		return eris.Errorf("membership has invalid term %d, epoch %d or base epoch %d", m.term, m.epoch, m.baseEpoch)
+	case len(m.members) == 0 || len(m.members) > maxMembers || len(m.base) == 0 || len(m.base) > maxMembers || len(m.previous) > maxPrevious:
+		return eris.Errorf("membership has %d members, %d base members and %d previous members; the limits are 1 to %d, 1 to %d and %d", len(m.members), len(m.base), len(m.previous), maxMembers, maxMembers, maxPrevious)
 	}
 	if _, ok := m.member(m.leader.Incarnation()); !ok {
 		return eris.Errorf("leader %q is not a member", m.leader.Name())
@@ -80,11 +80,11 @@
 func (m Member) check() error {
 	for _, s := range []string{m.Name(), m.Incarnation(), m.PeerAddress()} {
 		if s == "" || len(s) > maxName {
-			return eris.Errorf("name, incarnation or peer address of member %.40q is missing or too long", m.Name())
+			return eris.Errorf("name, incarnation or peer address of member %.40q is missing or longer than %d bytes", m.Name(), maxName)
 		}
 	}
 	if len(m.Domain()) > maxName || len(m.Region()) > maxName || len(m.CallerAddress()) > maxName {
-		return eris.Errorf("domain, region or caller address of member %.40q is too long", m.Name())
+		return eris.Errorf("domain, region or caller address of member %.40q is longer than %d bytes", m.Name(), maxName)
 	}
 	return nil
 }
--- a/cell/object.go
+++ b/cell/object.go
@@ -73,7 +73,7 @@
 func (o *cellObject) encode() ([]byte, error) {
 	value, err := json.Marshal(o)
 	if err == nil && len(value) > maxObject {
-		err = eris.Errorf("membership object has %d bytes, the limit is %d", len(value), maxObject)
+		err = eris.Errorf("cell object has %d bytes, the limit is %d", len(value), maxObject)
 	}
 	return value, err
 }
@@ -81,14 +81,14 @@
 // decodeObject decodes and validates the value of the store key cell/<cell>.
 func decodeObject(value []byte, cell string) (*cellObject, *membership, error) {
 	if len(value) > maxObject {
-		return nil, nil, eris.Errorf("membership object has %d bytes, the limit is %d", len(value), maxObject)
+		return nil, nil, eris.Errorf("cell object has %d bytes, the limit is %d", len(value), maxObject)
 	}
 	var o cellObject
 	if err := json.Unmarshal(value, &o); err != nil {
-		return nil, nil, eris.Wrap(err, "membership object is not valid JSON")
+		return nil, nil, eris.Wrap(err, "cell object is not valid JSON")
 	}
-	if len(o.Members) > maxMembers || len(o.Base) > maxMembers || len(o.Previous) > maxHolders {
-		return nil, nil, eris.Errorf("membership object lists %d members", len(o.Members))
+	if len(o.Members) > maxMembers || len(o.Base) > maxMembers || len(o.Previous) > maxPrevious {
+		return nil, nil, eris.Errorf("cell object lists %d members, %d base members and %d previous members; the limits are %d, %d and %d", len(o.Members), len(o.Base), len(o.Previous), maxMembers, maxMembers, maxPrevious)
 	}
 	m := &membership{
 		cell: o.Cell, term: o.Term, epoch: o.Epoch, baseEpoch: o.BaseEpoch,
@@ -115,7 +115,7 @@
 	out := make([]Member, 0, len(refs))
 	for _, i := range refs {
 		if i < 0 || i >= len(o.Daemons) {
-			return nil, eris.Errorf("membership object refers to daemon %d of %d", i, len(o.Daemons))
+			return nil, eris.Errorf("cell object refers to daemon %d of %d", i, len(o.Daemons))
 		}
 		out = append(out, NewMember(MemberSpec(o.Daemons[i])))
 	}
--- a/cell/option.go
+++ b/cell/option.go
@@ -80,7 +80,7 @@
 }
 
 // WithSeeds sets the peer addresses that a daemon asks for configuration and
-// membership when the store does not answer.
+// membership if it lacks one of them or has lost contact with all peers.
 func WithSeeds(addresses []string) Option { return func(c *config) { c.seeds = addresses } }
 
 // WithVMs sets the function that looks up a member name in the VM list. It returns
--- a/cell/poll.go
+++ b/cell/poll.go
@@ -13,7 +13,7 @@
 	next            time.Duration
 	standstill      bool // A majority extends the lease instead of a leader.
 	standstillSince time.Duration
-	nextSeed        int // Counts the seeds asked; the next seed is taken modulo their number.
+	nextSeed        int // Number of calls to seeds so far; selects the next seed modulo their number.
 	askingSeed      bool
 	lastRound       *pollRound // The round before currentRound.
 	currentRound    *pollRound
@@ -93,8 +93,8 @@
 // later epoch. This is safe because a later epoch settles only after a majority of its
 // base has acknowledged it, and the two majorities share a daemon. Once the store
 // records this epoch as settled, the base of the next epoch is the staying members of
-// this one. Until then it may also be the base of this epoch, so majorities of both
-// are required. Without them this daemon may act as a stand-in if any member agrees.
+// this one. Until then the next epoch may keep the base of this one, so majorities
+// of both are required. Without them this daemon may act as a stand-in if any member agrees.
 func (c *Cell) extendMajorityLeaseLocked(now time.Duration, r *pollRound) {
 	if c.view.membership != r.membership {
 		return
@@ -123,8 +123,8 @@
 // membership. It serves daemons that start while the store is down and daemons that
 // have lost contact with all peers.
 func (c *Cell) askSeedLocked(now time.Duration) {
-	noContact := c.view.membership == nil || c.configuration.doc.Generation == 0 || now-c.contact.lastPeer > isolationTimeout
-	if !noContact || len(c.cfg.seeds) == 0 || c.poll.askingSeed {
+	needsSeed := c.view.membership == nil || c.configuration.doc.Generation == 0 || now-c.contact.lastPeer > isolationTimeout
+	if !needsSeed || len(c.cfg.seeds) == 0 || c.poll.askingSeed {
 		return
 	}
 	c.poll.askingSeed = true
--- a/cell/random_test.go
+++ b/cell/random_test.go
@@ -9,10 +9,8 @@
 )
 
 // Guards against two full homes of one group and against a cell that does not recover
-// from combined faults: members are partitioned, paused, killed and restarted, messages
-// and store replies are lost or late, the store is down, and operators change the
-// configuration. MEDLARYARD_SEEDS=n runs n seeds instead of the fixed ones,
-// MEDLARYARD_SEED=n only that one.
+// from the faults of injectFaults combined with lost or late messages and store replies.
+// MEDLARYARD_SEEDS=n runs n seeds from 1000, MEDLARYARD_SEED=n runs seed n.
 func TestRandomRun(t *testing.T) {
 	first, count := uint64(1), 8
 	if n, err := strconv.Atoi(os.Getenv("MEDLARYARD_SEEDS")); err == nil {
@@ -21,7 +19,7 @@
 	if n, err := strconv.ParseUint(os.Getenv("MEDLARYARD_SEED"), 10, 64); err == nil {
 		first, count = n, 1
 	}
-	seeds := []uint64{2348} // The first member of the cell is partitioned at epoch 1.
+	seeds := []uint64{2348} // Always runs: the first member of the cell is partitioned at epoch 1.
 	for i := range count {
 		seeds = append(seeds, first+uint64(i))
 	}
@@ -60,7 +58,9 @@
 	}
 }
 
-// injectFaults injects random faults and repairs for the first two minutes.
+// injectFaults runs for the first two minutes. It partitions, pauses, kills and restarts
+// members, lets members leave, stops the store and changes the configuration, and ends
+// these faults, all at random.
 func (f *fleet) injectFaults() {
 	end := f.clk.Boot() + 2*time.Minute - time.Second
 	for f.clk.Boot() < end {
--- a/cell/rules_test.go
+++ b/cell/rules_test.go
@@ -37,7 +37,7 @@
 
 // Guards against a daemon that uses its old shares after a pause, under the lease that
 // it gets for a later epoch.
-func TestLeaseWaitsForShares(t *testing.T) {
+func TestLeaseEndUnconfirmedShares(t *testing.T) {
 	c, clk := newLeasedCell(testMembers(4))
 	c.ConfirmShares(c.ShareKey())
 	if c.LeaseEnd() <= clk.Boot() {
@@ -57,7 +57,7 @@
 
 // Guards against a home that stays closed: it is stopping when its group is assigned
 // again, before the daemon has applied shares without the group.
-func TestReturnedGroupIsWithheldUntilHomeStops(t *testing.T) {
+func TestReassignedGroupWithheld(t *testing.T) {
 	c, clk := newLeasedCell(testMembers(4))
 	var stop []func()
 	c.cfg.spawn = func(f func()) { stop = append(stop, f) }
@@ -90,7 +90,7 @@
 
 // Guards against a full share that is kept for a later epoch after its lease has
 // expired, when another member may have been home in between.
-func TestFullShareEndsWithLease(t *testing.T) {
+func TestFullShareAfterLeaseExpiry(t *testing.T) {
 	c, clk := newLeasedCell(testMembers(4))
 	if !c.view.hasFullShare("g") {
 		t.Fatal("no full share at a settled epoch")
@@ -116,12 +116,12 @@
 	}
 	c.extendMajorityLeaseLocked(clk.Boot(), r)
 	if c.view.majorityLease != 0 {
-		t.Error("lease without the base")
+		t.Error("lease extended without a majority of the base")
 	}
 	c.view.settledStored = true
 	c.extendMajorityLeaseLocked(clk.Boot(), r)
 	if c.view.majorityLease != r.sent+standstillLease {
-		t.Error("no lease although the epoch is recorded as settled")
+		t.Error("lease not extended although the store records the epoch as settled")
 	}
 }
 
@@ -137,11 +137,11 @@
 	}
 	l.yields = true
 	if l.trySettle(now, func(Member) bool { return false }) {
-		t.Error("settled while yielding")
+		t.Error("epoch settled while the leader yields")
 	}
 	l.yields = false
 	if !l.trySettle(now, func(Member) bool { return false }) {
-		t.Error("not settled by acknowledgement of all")
+		t.Error("epoch not settled although all members acknowledged it")
 	}
 
 	f := newFleet(t, 1, 1)
@@ -154,19 +154,19 @@
 		n.cell.takeOver(next, version, true)
 		l := n.cell.leader
 		if l == nil || l.grantsKnownSince < n.cell.cfg.clk.Boot()+storeLeaseDuration-clockMargin {
-			t.Error("successor does not wait for the leases of a leader that yielded")
+			t.Error("new leader does not wait for the leases of the yielding one to expire")
 		}
 	})
 	f.run(time.Second, f.checkShares)
 }
 
 // Guards against a grant after the write that releases the leader's store lease.
-func TestLeavingLeaderGrantsNothing(t *testing.T) {
+func TestLeavingLeaderHeartbeat(t *testing.T) {
 	members := testMembers(2)
 	c := newTestLeader(members)
 	in := &peerpb.HeartbeatRequest{Member: members[1].wire(), Epoch: 2, KnownEpoch: 2}
 	if r, _ := c.HandleHeartbeat(context.Background(), in); !r.Accepted {
-		t.Fatal("not granted before")
+		t.Fatal("heartbeat not accepted before leaving")
 	}
 	c.leaving = true
 	c.heartbeat.next = 0
@@ -177,6 +177,6 @@
 	c.view.grantedLease = c.cfg.clk.Boot() + leaseDuration
 	c.tryLeave()
 	if r, _ := c.HandleHeartbeat(context.Background(), in); r.Accepted {
-		t.Error("granted after releasing the store lease")
+		t.Error("heartbeat accepted after releasing the store lease")
 	}
 }
--- a/cell/scenario_test.go
+++ b/cell/scenario_test.go
@@ -61,7 +61,7 @@
 	for _, id := range groups {
 		has := slices.ContainsFunc(f.nodes, func(n *node) bool { return n.liveShare(id) >= minShare })
 		if !has {
-			return fmt.Errorf("group %s has no home with share %v", id, minShare)
+			return fmt.Errorf("group %s has no home with at least share %v", id, minShare)
 		}
 	}
 	return nil
@@ -87,7 +87,7 @@
 	f.requireDuring(20*time.Second, "homes on other members", func() error { return f.checkHomes(lease.Full, kept) })
 	f.waitUntil(5*time.Second, "all homes", f.checkConverged)
 	if f.leader().cell.view.membership.term < 2 {
-		t.Error("the term did not grow")
+		t.Errorf("term %d after the leader was killed; want at least 2", f.leader().cell.view.membership.term)
 	}
 }
 
@@ -106,14 +106,14 @@
 	n = f.startNode(2)
 	f.waitUntil(10*time.Second, "configuration from peers", func() error {
 		if n.cell.Generation() != 1 || len(n.cell.Members()) != 7 {
-			return fmt.Errorf("generation %d, %d members", n.cell.Generation(), len(n.cell.Members()))
+			return fmt.Errorf("generation %d, %d members; want 1 and 7", n.cell.Generation(), len(n.cell.Members()))
 		}
 		return nil
 	})
 	f.requireDuring(10*time.Second, "no home on the new daemon", func() error {
 		for _, id := range f.groupIDs {
 			if n.liveShare(id) != lease.None {
-				return fmt.Errorf("share %v of %s", n.liveShare(id), id)
+				return fmt.Errorf("share %v of group %s", n.liveShare(id), id)
 			}
 		}
 		return nil
@@ -152,7 +152,7 @@
 		for _, n := range f.nodes {
 			for _, id := range f.groupIDs {
 				if n.index%domains == 1 && n.liveShare(id) != lease.None {
-					return fmt.Errorf("vm%d has share %v", n.index, n.liveShare(id))
+					return fmt.Errorf("vm%d has share %v of group %s", n.index, n.liveShare(id), id)
 				}
 			}
 		}
@@ -175,7 +175,7 @@
 	})
 	f.waitUntil(2*time.Second, "handoff", func() error {
 		if !leader.cell.tryLeave() {
-			return fmt.Errorf("not left")
+			return fmt.Errorf("leader vm%d has not left", leader.index)
 		}
 		return f.checkHomes(lease.Full, f.groupIDs)
 	})
@@ -224,7 +224,7 @@
 		n.cell.leaving = true
 		f.waitUntil(3*time.Second, "handoff", func() error {
 			if !n.cell.tryLeave() {
-				return fmt.Errorf("not left")
+				return fmt.Errorf("vm%d has not left", n.index)
 			}
 			return nil
 		})
--- a/cell/scheduler_test.go
+++ b/cell/scheduler_test.go
@@ -14,13 +14,13 @@
 	clk     *clocktest.Manual
 	rng     *rand.Rand
 	tasks   []*task
-	parked  chan struct{}
+	parked  chan struct{} // The running task signals that it sleeps or has ended.
 	current *task
 	seq     int
 }
 
 type task struct {
-	at     time.Duration
+	at     time.Duration // When the task continues.
 	seq    int
 	node   *node // The task does not run while this node is paused. Nil for messages in transit.
 	resume chan struct{}
--- a/cell/wire.go
+++ b/cell/wire.go
@@ -65,8 +65,8 @@
 }
 
 func membershipOf(w *peerpb.Membership, cell string) (*membership, error) {
-	if len(w.GetMembers()) > maxMembers || len(w.GetPrevious()) > maxHolders || len(w.GetBase()) > maxMembers {
-		return nil, eris.Errorf("membership message lists %d members", len(w.GetMembers()))
+	if len(w.GetMembers()) > maxMembers || len(w.GetPrevious()) > maxPrevious || len(w.GetBase()) > maxMembers {
+		return nil, eris.Errorf("membership message lists %d members, %d base members and %d previous members; the limits are %d, %d and %d", len(w.GetMembers()), len(w.GetBase()), len(w.GetPrevious()), maxMembers, maxMembers, maxPrevious)
 	}
 	m := &membership{
 		cell:       w.GetCell(),
--- a/cell/write.go
+++ b/cell/write.go
@@ -87,7 +87,7 @@
 	ok := err == nil || errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNotFound)
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
-	c.recordStoreContact(now, ok)
+	c.recordStoreContactLocked(now, ok)
 	c.unlock()
 }
 
@@ -158,7 +158,7 @@
 func (l *leaderState) pruneRecords() {
 	for id := range l.heartbeats {
 		_, member := l.current.member(id)
-		if _, held := findMember(l.current.previous, id); !member && !held {
+		if _, previous := findMember(l.current.previous, id); !member && !previous {
 			delete(l.heartbeats, id)
 			delete(l.seenInVMList, id)
 		}
