--- a/invariant/check.go
+++ b/invariant/check.go
@@ -17,8 +17,8 @@
 // Randomised runs enable it through the daemon's environment.
 func PanicOnViolation() { panicOnViolation.Store(true) }
 
-// Check counts and logs a violation of the invariant if ok is false, or panics after
-// PanicOnViolation. format and args describe the violating state. Check returns ok.
+// Check returns ok. If ok is false, it counts a violation of the invariant and logs it
+// or, after PanicOnViolation, panics. format and args describe the violating state.
 func Check(name Name, ok bool, format string, args ...any) bool {
 	if ok {
 		return true
