--- a/cell/adopt.go
+++ b/cell/adopt.go
@@ -26,7 +26,7 @@
 	m, err := membershipOf(w, c.cfg.cell)
 	if err != nil {
 		meter.Count("cell.refused.membership", 1)
-		log.Warn().Err(err).Uint64("epoch", w.Epoch).Uint64("term", w.Term).Msg("rejected a membership from a peer; the current one stays in force")
+		log.Warn().Err(err).Msg("rejected a membership from a peer; the current one stays in force")
 		return
 	}
 	c.tryAdoptLocked(now, m)
--- a/cell/configuration.go
+++ b/cell/configuration.go
@@ -108,7 +108,7 @@
 		return
 	}
 	meter.Count("cell.refused.configuration", 1)
-	log.Warn().Err(err).Uint64("generation", generation).Msg("rejected a configuration; the current one stays in force")
+	log.Warn().Err(err).Msg("rejected a configuration; the current one stays in force")
 	now := c.cfg.clk.Boot()
 	c.mu.Lock()
 	c.configuration.refusalReason, c.configuration.refusedGeneration, c.configuration.retryAt = err.Error(), generation, now+refusedRetry
--- a/cell/sync.go
+++ b/cell/sync.go
@@ -37,7 +37,7 @@
 	d, err := documentOf(w)
 	if err != nil {
 		meter.Count("cell.refused.configuration", 1)
-		log.Warn().Err(err).Uint64("generation", w.Generation).Msg("rejected a configuration from a peer; the current one stays in force")
+		log.Warn().Err(err).Msg("rejected a configuration from a peer; the current one stays in force")
 		return
 	}
 	c.install(d, origin)
