--- a/standin/shards/behaviour.go
+++ b/standin/shards/behaviour.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Behaviour is how an emulated target serves.
+// Behaviour sets how an emulated target serves requests and which faults it
+// injects. Shares are fractions of requests or replies, from 0 to 1.
 type Behaviour struct {
-	slots           int
-	queue           int
-	maxConns        int
-	work            time.Duration
-	spread          float64
-	slowness        float64
-	pause           time.Duration
-	pauseGap        time.Duration
-	failing         float64
-	shedding        float64
-	droppingReplies float64
-	duplicating     float64
-	blackhole       bool
-	down            bool
-	silent          bool
-	handshake       time.Duration
-	poison          string
+	slots                int
+	queue                int
+	maxConns             int
+	serviceTime          time.Duration
+	spread               float64
+	slowFactor           float64
+	pause                time.Duration
+	pausePeriod          time.Duration
+	failedShare          float64
+	refusedShare         float64
+	droppedReplyShare    float64
+	duplicatedReplyShare float64
+	blackhole            bool
+	down                 bool
+	silent               bool
+	handshakeTime        time.Duration
+	crashText            string
 }
 
 // Option sets one property of a Behaviour.
 type Option func(*Behaviour)
 
-// NewBehaviour returns a sound target of one slot that works for work on a
-// request.
-func NewBehaviour(work time.Duration, opts ...Option) Behaviour {
-	b := Behaviour{slots: 1, queue: 12, maxConns: 100, work: work, slowness: 1}
+// NewBehaviour returns the behaviour of a healthy target that processes each
+// request for serviceTime. Unless opts change it, the target has 1 slot, a queue
+// of 12 requests and a limit of 100 connections.
+func NewBehaviour(serviceTime time.Duration, opts ...Option) Behaviour {
+	b := Behaviour{slots: 1, queue: 12, maxConns: 100, serviceTime: serviceTime, slowFactor: 1}
 	return b.With(opts...)
 }
 
-// With returns a copy with other properties.
+// With returns a copy of b that is changed by opts.
 func (b Behaviour) With(opts ...Option) Behaviour {
 	for _, o := range opts {
 		o(&b)
@@ -41,50 +43,55 @@
 	return b
 }
 
-// Slots sets how many requests run at once.
+// Slots sets the number of requests that run concurrently.
 func Slots(n int) Option { return func(b *Behaviour) { b.slots = n } }
 
-// Queue sets how many requests wait for a slot; more are refused.
+// Queue sets the number of requests that wait for a slot. The target refuses
+// further requests.
 func Queue(n int) Option { return func(b *Behaviour) { b.queue = n } }
 
-// MaxConnections sets how many connections are accepted; more are reset.
+// MaxConnections sets the number of open connections. The target resets further
+// connections.
 func MaxConnections(n int) Option { return func(b *Behaviour) { b.maxConns = n } }
 
-// Spread sets the standard deviation of the logarithm of the working time.
+// Spread makes the service time log-normal: s is the standard deviation of its
+// logarithm.
 func Spread(s float64) Option { return func(b *Behaviour) { b.spread = s } }
 
-// Slow multiplies the working time.
-func Slow(x float64) Option { return func(b *Behaviour) { b.slowness = x } }
+// Slow multiplies the service time by factor.
+func Slow(factor float64) Option { return func(b *Behaviour) { b.slowFactor = factor } }
 
-// Pauses stops all work for d once in each gap.
-func Pauses(d, gap time.Duration) Option {
-	return func(b *Behaviour) { b.pause, b.pauseGap = d, gap }
+// Pauses stops all processing for d at the start of each period.
+func Pauses(d, period time.Duration) Option {
+	return func(b *Behaviour) { b.pause, b.pausePeriod = d, period }
 }
 
-// Failing answers that share of the requests with a failure.
-func Failing(share float64) Option { return func(b *Behaviour) { b.failing = share } }
+// Failing runs the given share of the requests and answers them with status 500.
+func Failing(share float64) Option { return func(b *Behaviour) { b.failedShare = share } }
 
-// Shedding refuses that share of the requests without running them.
-func Shedding(share float64) Option { return func(b *Behaviour) { b.shedding = share } }
+// Shedding refuses the given share of the requests without running them.
+func Shedding(share float64) Option { return func(b *Behaviour) { b.refusedShare = share } }
 
-// DroppingReplies runs that share of the requests and resets the connection instead of
-// answering.
-func DroppingReplies(share float64) Option { return func(b *Behaviour) { b.droppingReplies = share } }
+// DroppingReplies runs the given share of the requests and closes the connection
+// instead of replying.
+func DroppingReplies(share float64) Option { return func(b *Behaviour) { b.droppedReplyShare = share } }
 
-// Duplicating sends that share of the answers twice.
-func Duplicating(share float64) Option { return func(b *Behaviour) { b.duplicating = share } }
+// Duplicating sends the given share of the successful replies twice.
+func Duplicating(share float64) Option { return func(b *Behaviour) { b.duplicatedReplyShare = share } }
 
-// Blackhole neither answers nor accepts connections, without a reset.
+// Blackhole makes the target neither reply nor complete new in-memory
+// connections. It closes no connection.
 func Blackhole() Option { return func(b *Behaviour) { b.blackhole = true } }
 
-// Down resets all connections and accepts none.
+// Down closes all connections and refuses new ones.
 func Down() Option { return func(b *Behaviour) { b.down = true } }
 
-// Silent accepts connections and requests and never answers.
+// Silent makes the target accept connections, run requests and never reply.
 func Silent() Option { return func(b *Behaviour) { b.silent = true } }
 
-// Handshake sets the time that a new connection takes.
-func Handshake(d time.Duration) Option { return func(b *Behaviour) { b.handshake = d } }
+// Handshake sets the time that it takes to establish a connection.
+func Handshake(d time.Duration) Option { return func(b *Behaviour) { b.handshakeTime = d } }
 
-// Crashing makes requests whose path holds text crash the target for 3 s.
-func Crashing(text string) Option { return func(b *Behaviour) { b.poison = text } }
+// Crashing makes requests whose URI contains text crash the target, which
+// restarts after 3 s.
+func Crashing(text string) Option { return func(b *Behaviour) { b.crashText = text } }
--- a/standin/shards/emulator.go
+++ b/standin/shards/emulator.go
@@ -21,7 +21,8 @@
 	return &Emulator{seed: seed, targets: make(map[string]*Target)}
 }
 
-// Add starts a target of that identity and returns it.
+// Add adds a target with the given identity and returns it. It assigns the target
+// a unique address.
 func (e *Emulator) Add(id string, b Behaviour) *Target {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -32,13 +33,16 @@
 	return t
 }
 
-// Address returns where the target accepts connections.
+// Address returns the host:port by which Dial reaches the target.
 func (t *Target) Address() string { return t.address }
 
-// ID returns the target's identity.
+// ID returns the identity that the target sends in the platform.HeaderInstance
+// and platform.HeaderStamp headers.
 func (t *Target) ID() string { return t.id }
 
-// Dial makes a connection to the target at address.
+// Dial returns an in-memory connection to the target at address. It refuses the
+// connection if there is no target or the target is down, and blocks until ctx
+// ends if the target is a blackhole.
 func (e *Emulator) Dial(ctx context.Context, address string) (net.Conn, error) {
 	e.mu.Lock()
 	t := e.targets[address]
@@ -49,22 +53,23 @@
 	return t.dial(ctx)
 }
 
-// Close ends all connections.
+// Close takes all targets down, which closes their connections.
 func (e *Emulator) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, t := range e.targets {
-		t.SetBehaviour(t.behaviour().With(Down()))
+		t.SetBehaviour(t.currentBehaviour().With(Down()))
 	}
 }
 
-// recordsOfPart is how many records a part holds.
-const recordsOfPart = 8
+// recordsPerPart is the number of records in the part that a target returns.
+const recordsPerPart = 8
 
-// Records returns the part that a target answers to a request for uri.
+// Records returns the body with which the target named id answers a request for
+// uri: recordsPerPart records of 16 bytes each, derived from id and uri by a hash.
 func Records(id, uri string) []byte {
 	var out []byte
-	for i := range recordsOfPart {
+	for i := range recordsPerPart {
 		sum := sha256.Sum256(fmt.Appendf(nil, "%s %s %d", id, uri, i))
 		out = append(out, sum[:16]...)
 	}
--- a/standin/shards/listen.go
+++ b/standin/shards/listen.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Listen serves the target on l until it is closed. It applies the cap on
-// connections and the states in which no connection is accepted.
+// Listen accepts and serves connections on l until l is closed. It resets a new
+// connection if the target is down or has reached its connection limit.
 func (t *Target) Listen(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
@@ -24,24 +24,24 @@
 func (t *Target) accept(conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.b.down || len(t.conns) >= t.b.maxConns {
+	if t.behaviour.down || len(t.conns) >= t.behaviour.maxConns {
 		reset(conn)
 		return
 	}
 	t.conns[conn] = struct{}{}
 	t.accepted++
-	t.peak = max(t.peak, len(t.conns))
-	handshake := t.b.handshake
+	t.peakConns = max(t.peakConns, len(t.conns))
+	handshake := t.behaviour.handshakeTime
 	go func() {
 		time.Sleep(handshake)
 		t.serve(conn)
 	}()
 }
 
-// reset closes a connection with a reset instead of an orderly end.
+// reset closes conn with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // Without it the close is orderly, which tests also accept.
+		_ = tcp.SetLinger(0) // If this fails, the connection closes with a FIN, which tests accept too.
 	}
 	_ = conn.Close()
 }
--- a/standin/shards/target.go
+++ b/standin/shards/target.go
@@ -23,19 +23,19 @@
 	id      string
 	address string
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	b        Behaviour
-	started  time.Time
-	conns    map[net.Conn]struct{}
-	free     chan struct{} // Holds a token for each request that runs.
-	waiting  int
-	ran      map[string]int // Runs by request id.
-	refused  int
-	crashes  int
-	peak     int // The most connections at once.
-	accepted int
-	arrivals []time.Time // Of requests for this target.
+	mu          sync.Mutex
+	rng         *rand.Rand
+	behaviour   Behaviour
+	pauseOrigin time.Time // Start of the first pause period.
+	conns       map[net.Conn]struct{}
+	slots       chan struct{}  // Contains a token for each running request.
+	admitted    int            // Requests that are queued or running.
+	runs        map[string]int // Number of runs by request id.
+	refused     int
+	crashes     int
+	peakConns   int // Maximum number of concurrent connections.
+	accepted    int
+	arrivals    []time.Time // Arrival times of requests for this target.
 }
 
 var (
@@ -45,19 +45,20 @@
 
 func newTarget(id, address string, b Behaviour, seed int64) *Target {
 	rng := rand.New(rand.NewSource(seed))
-	// Each target pauses at its own time.
-	started := time.Now().Add(-time.Duration(rng.Int63n(int64(time.Hour))))
+	// A random phase makes the targets pause at different times.
+	pauseOrigin := time.Now().Add(-time.Duration(rng.Int63n(int64(time.Hour))))
 	return &Target{
-		id: id, address: address, b: b, rng: rng, started: started,
-		conns: make(map[net.Conn]struct{}), free: make(chan struct{}, b.slots), ran: make(map[string]int),
+		id: id, address: address, behaviour: b, rng: rng, pauseOrigin: pauseOrigin,
+		conns: make(map[net.Conn]struct{}), slots: make(chan struct{}, b.slots), runs: make(map[string]int),
 	}
 }
 
-// SetBehaviour changes the behaviour. A target that goes down resets its connections.
+// SetBehaviour replaces the behaviour. If b is down, it closes all connections. The
+// number of slots stays as it was when the target was added.
 func (t *Target) SetBehaviour(b Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.b = b
+	t.behaviour = b
 	if b.down {
 		for c := range t.conns {
 			_ = c.Close() // The emulated reset.
@@ -65,69 +66,71 @@
 	}
 }
 
-// Runs returns how often a request ran here, by its id.
+// Runs returns the number of times that each request ran on the target, by
+// request id.
 func (t *Target) Runs() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	runs := make(map[string]int, len(t.ran))
-	for id, n := range t.ran {
+	runs := make(map[string]int, len(t.runs))
+	for id, n := range t.runs {
 		runs[id] = n
 	}
 	return runs
 }
 
-// MostArrivals returns the most requests that arrived within any span of that
-// length. Requests that were meant for another target do not count.
+// MostArrivals returns the maximum number of requests that arrived within any
+// interval of length span. Requests that were addressed to another target do not
+// count.
 func (t *Target) MostArrivals(span time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	most, first := 0, 0
+	maxCount, first := 0, 0
 	for i, at := range t.arrivals {
 		for at.Sub(t.arrivals[first]) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
-// Refused returns how many requests were refused.
+// Refused returns the number of requests that the target refused.
 func (t *Target) Refused() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.refused
 }
 
-// PeakConnections returns the most connections that were open at once.
+// PeakConnections returns the maximum number of concurrently open connections.
 func (t *Target) PeakConnections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.peak
+	return t.peakConns
 }
 
-// Accepted returns how many connections were accepted.
+// Accepted returns the number of connections that the target accepted.
 func (t *Target) Accepted() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.accepted
 }
 
-func (t *Target) behaviour() Behaviour {
+func (t *Target) currentBehaviour() Behaviour {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.b
+	return t.behaviour
 }
 
-// chance reports true with that probability.
+// chance returns true with probability p.
 func (t *Target) chance(p float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return p > 0 && t.rng.Float64() < p
 }
 
-// dial makes a connection to the target.
+// dial returns an in-memory connection to the target.
 func (t *Target) dial(ctx context.Context) (net.Conn, error) {
-	b := t.behaviour()
+	b := t.currentBehaviour()
 	switch {
 	case b.down:
 		return nil, errRefused
@@ -135,21 +138,21 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := sleep(ctx, b.handshake); err != nil {
+	if err := sleep(ctx, b.handshakeTime); err != nil {
 		return nil, err
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.conns) >= t.b.maxConns {
-		_, _ = near.Close(), far.Close() // The emulated reset.
+	if len(t.conns) >= t.behaviour.maxConns {
+		_, _ = client.Close(), server.Close() // The emulated reset.
 		return nil, errReset
 	}
-	t.conns[far] = struct{}{}
+	t.conns[server] = struct{}{}
 	t.accepted++
-	t.peak = max(t.peak, len(t.conns))
-	go t.serve(far)
-	return near, nil
+	t.peakConns = max(t.peakConns, len(t.conns))
+	go t.serve(server)
+	return client, nil
 }
 
 func sleep(ctx context.Context, d time.Duration) error {
@@ -163,7 +166,7 @@
 	}
 }
 
-// serve answers the requests of one connection.
+// serve serves the requests of one connection until it closes.
 func (t *Target) serve(conn net.Conn) {
 	defer func() {
 		t.mu.Lock()
@@ -183,94 +186,96 @@
 	}
 }
 
-// handle serves one request and reports whether the connection stays open.
+// handle serves one request. It returns false if the connection must be closed.
 func (t *Target) handle(conn net.Conn, req *fasthttp.Request) bool {
 	id := string(req.Header.Peek(platform.HeaderRequestID))
-	b := t.behaviour()
+	b := t.currentBehaviour()
 	if want := string(req.Header.Peek(platform.HeaderExpect)); want != "" && want != t.id {
-		return write(conn, fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", platform.HeaderInstance, t.id))
+		return writeString(conn, fmt.Sprintf("HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", platform.HeaderInstance, t.id))
 	}
 	t.mu.Lock()
 	t.arrivals = append(t.arrivals, time.Now())
 	t.mu.Unlock()
-	if t.chance(b.shedding) || !t.enter(b) {
+	if t.chance(b.refusedShare) || !t.acquireSlot(b) {
 		t.mu.Lock()
 		t.refused++
 		t.mu.Unlock()
-		return write(conn, "HTTP/1.1 503 Service Unavailable\r\n"+platform.HeaderNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
+		return writeString(conn, "HTTP/1.1 503 Service Unavailable\r\n"+platform.HeaderNotRun+": 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	if b.poison != "" && strings.Contains(string(req.RequestURI()), b.poison) {
+	if b.crashText != "" && strings.Contains(string(req.RequestURI()), b.crashText) {
 		t.crash(b)
-		t.leave()
+		t.releaseSlot()
 		return false
 	}
-	t.work(b, id)
-	t.leave()
-	if b = t.behaviour(); b.blackhole || b.silent {
-		// Nothing is ever answered; the connection stays open until the other
-		// end closes it.
+	t.simulateWork(b, id)
+	t.releaseSlot()
+	if b = t.currentBehaviour(); b.blackhole || b.silent {
+		// Keeps the connection open without a reply until the client closes it.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
-	if t.chance(b.droppingReplies) {
+	if t.chance(b.droppedReplyShare) {
 		return false
 	}
-	if t.chance(b.failing) {
-		return write(conn, answer(500, id, t.id, nil))
+	if t.chance(b.failedShare) {
+		return writeString(conn, formatResponse(500, id, t.id, nil))
 	}
-	a := answer(200, id, t.id, Records(t.id, string(req.RequestURI())))
-	if t.chance(b.duplicating) {
-		a += a
+	response := formatResponse(200, id, t.id, Records(t.id, string(req.RequestURI())))
+	if t.chance(b.duplicatedReplyShare) {
+		response += response
 	}
-	return write(conn, a)
+	return writeString(conn, response)
 }
 
-// enter takes a slot and reports false when the queue is full.
-func (t *Target) enter(b Behaviour) bool {
+// acquireSlot waits for a slot. It returns false at once if the queue is full.
+func (t *Target) acquireSlot(b Behaviour) bool {
 	t.mu.Lock()
-	if t.waiting >= b.slots+b.queue {
+	if t.admitted >= b.slots+b.queue {
 		t.mu.Unlock()
 		return false
 	}
-	t.waiting++
+	t.admitted++
 	t.mu.Unlock()
-	t.free <- struct{}{}
+	t.slots <- struct{}{}
 	return true
 }
 
-// crash ends all connections and accepts none for a while.
+// crash takes the target down, which closes its connections, and restarts it with
+// behaviour b after 3 s.
 func (t *Target) crash(b Behaviour) {
-	const restart = 3 * time.Second
+	const restartDelay = 3 * time.Second
 	t.mu.Lock()
 	t.crashes++
 	t.mu.Unlock()
 	t.SetBehaviour(b.With(Down()))
-	time.AfterFunc(restart, func() { t.SetBehaviour(b) })
+	time.AfterFunc(restartDelay, func() { t.SetBehaviour(b) })
 }
 
-// Crashes returns how often a request crashed the target.
+// Crashes returns the number of requests that crashed the target.
 func (t *Target) Crashes() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.crashes
 }
 
-func (t *Target) leave() {
-	<-t.free
+// releaseSlot frees a slot that acquireSlot returned.
+func (t *Target) releaseSlot() {
+	<-t.slots
 	t.mu.Lock()
-	t.waiting--
+	t.admitted--
 	t.mu.Unlock()
 }
 
-// work passes the time that a request takes, pauses included.
-func (t *Target) work(b Behaviour, id string) {
+// simulateWork counts a run of request id and sleeps for its service time,
+// pauses included.
+func (t *Target) simulateWork(b Behaviour, id string) {
 	t.mu.Lock()
-	t.ran[id]++
-	d := time.Duration(float64(b.work) * b.slowness * math.Exp(b.spread*t.rng.NormFloat64()))
+	t.runs[id]++
+	d := time.Duration(float64(b.serviceTime) * b.slowFactor * math.Exp(b.spread*t.rng.NormFloat64()))
 	t.mu.Unlock()
-	if b.pauseGap > 0 {
+	if b.pausePeriod > 0 {
 		for step := time.Millisecond; d > 0; d -= step {
-			if since := time.Since(t.started) % b.pauseGap; since < b.pause {
+			if since := time.Since(t.pauseOrigin) % b.pausePeriod; since < b.pause {
 				time.Sleep(b.pause - since)
 			}
 			time.Sleep(min(step, d))
@@ -280,13 +285,14 @@
 	time.Sleep(d)
 }
 
-func write(conn net.Conn, s string) bool {
+func writeString(conn net.Conn, s string) bool {
 	_, err := conn.Write([]byte(s))
 	return err == nil
 }
 
-// answer is a complete answer with the target's signature for the request.
-func answer(status int, id, target string, body []byte) string {
+// formatResponse returns an HTTP response that carries the request id and the
+// target's stamp for it.
+func formatResponse(status int, id, target string, body []byte) string {
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\n%s: %s\r\n%s: %s.%s\r\nContent-Length: %d\r\n\r\n%s",
 		status, fasthttp.StatusMessage(status), platform.HeaderRequestID, id, platform.HeaderStamp, target, id, len(body), body)
 }
