--- a/standin/metastore/doc.go
+++ b/standin/metastore/doc.go
@@ -1,4 +1,5 @@
-// Package metastore is a stand-in for the platform's store: objects by kind and
-// name with revisions, conditional updates, watches and a history that is
-// dropped. Faults are injected from outside by its methods.
+// Package metastore is a stand-in for the platform's store, for tests. A [Store]
+// keeps objects by kind and name in memory; [Store.Handler] serves them over HTTP
+// with revisions, conditional updates, paged lists and watches over a bounded
+// history of changes. Tests inject faults with [Store.Inject].
 package metastore
--- a/standin/metastore/fault.go
+++ b/standin/metastore/fault.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// Fault is how calls fail.
+// Fault is a failure mode of the calls to a Store. The zero value is no fault.
 type Fault struct {
 	down            bool
-	hang            bool
+	hanging         bool
 	delay           time.Duration
 	droppingReplies bool
 	stalledWatches  bool
 }
 
-// Healthy returns the absence of faults.
+// Healthy is the absence of faults.
 func Healthy() Fault { return Fault{} }
 
-// Down answers all calls 503.
+// Down answers every call with status 503.
 func Down() Fault { return Fault{down: true} }
 
-// Hanging answers no call until the caller gives up.
-func Hanging() Fault { return Fault{hang: true} }
+// Hanging leaves every call unanswered until the caller cancels it.
+func Hanging() Fault { return Fault{hanging: true} }
 
-// Slow delays all calls.
+// Slow delays every call by d.
 func Slow(d time.Duration) Fault { return Fault{delay: d} }
 
-// DroppingReplies performs calls and cuts the connection instead of answering.
+// DroppingReplies executes every call and closes the connection instead of
+// replying.
 func DroppingReplies() Fault { return Fault{droppingReplies: true} }
 
-// StalledWatches keeps watches waiting although there are changes.
+// StalledWatches makes watches return no changes.
 func StalledWatches() Fault { return Fault{stalledWatches: true} }
 
-// Inject sets the fault in force.
+// Inject replaces the fault that applies to later calls. StalledWatches also
+// applies to pending watches.
 func (s *Store) Inject(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-func (s *Store) current() Fault {
+// beginCall counts a call and returns the fault that applies to it.
+func (s *Store) beginCall() Fault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
--- a/standin/metastore/handler.go
+++ b/standin/metastore/handler.go
@@ -9,51 +9,53 @@
 	"time"
 )
 
-// Handler serves the store's protocol.
+// Handler returns a handler that serves the protocol of the platform's store and
+// applies the injected fault.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /api/objects/{kind}", s.faulty(s.list))
-	mux.HandleFunc("POST /api/objects/{kind}", s.faulty(s.create))
-	mux.HandleFunc("GET /api/objects/{kind}/{name}", s.faulty(s.get))
-	mux.HandleFunc("PUT /api/objects/{kind}/{name}", s.faulty(s.replace))
-	mux.HandleFunc("PUT /api/objects/{kind}/{name}/status", s.faulty(s.replaceStatus))
+	mux.HandleFunc("GET /api/objects/{kind}", s.withFault(s.list))
+	mux.HandleFunc("POST /api/objects/{kind}", s.withFault(s.create))
+	mux.HandleFunc("GET /api/objects/{kind}/{name}", s.withFault(s.get))
+	mux.HandleFunc("PUT /api/objects/{kind}/{name}", s.withFault(s.replace))
+	mux.HandleFunc("PUT /api/objects/{kind}/{name}/status", s.withFault(s.replaceStatus))
 	return mux
 }
 
-// faulty applies the fault in force to a call.
-func (s *Store) faulty(next http.HandlerFunc) http.HandlerFunc {
+// withFault wraps next so that the injected fault applies to each call.
+func (s *Store) withFault(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f := s.current()
+		f := s.beginCall()
 		switch {
 		case f.down:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
-		case f.hang:
-			// The end of the caller is only noticed once the body is read.
+		case f.hanging:
+			// The server detects that the caller disconnected only after it read
+			// the body.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 			return
 		}
 		time.Sleep(f.delay)
 		if f.droppingReplies {
-			next(discard{http.Header{}}, r)
+			next(discardWriter{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next(w, r)
 	}
 }
 
-// discard is an answer that is lost.
-type discard struct{ h http.Header }
+// discardWriter is an http.ResponseWriter that drops the reply.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.h }
-func (d discard) Write(b []byte) (int, error) { return len(b), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(b []byte) (int, error) { return len(b), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // A caller that has left needs no answer.
+	_ = json.NewEncoder(w).Encode(v) // Fails only if the caller disconnected.
 }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
@@ -63,37 +65,39 @@
 		s.watch(w, r, kind)
 		return
 	}
-	items, more, at := s.page(kind, q.Get("after"))
-	reply(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "at": at})
+	items, more, revision := s.page(kind, q.Get("after"))
+	writeJSON(w, http.StatusOK, map[string]any{"items": items, "has_more": more, "at": revision})
 }
 
+// watch replies with the changes after the caller's revision. It waits up to
+// wait_ms for a change and then replies with an empty list.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("watch"), 10, 64)
-	wait, err2 := strconv.Atoi(q.Get("wait_ms"))
-	if err != nil || err2 != nil {
+	wait, waitErr := strconv.Atoi(q.Get("wait_ms"))
+	if err != nil || waitErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		events, at, changed, ok := s.since(kind, after)
+		events, revision, changed, ok := s.changesSince(kind, after)
 		if !ok {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
 		s.mu.Lock()
-		deaf := s.fault.stalledWatches
+		stalled := s.fault.stalledWatches
 		s.mu.Unlock()
-		if len(events) > 0 && !deaf {
-			reply(w, http.StatusOK, map[string]any{"events": events, "at": at})
+		if len(events) > 0 && !stalled {
+			writeJSON(w, http.StatusOK, map[string]any{"events": events, "at": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			reply(w, http.StatusOK, map[string]any{"events": []event{}, "at": after})
+			writeJSON(w, http.StatusOK, map[string]any{"events": []event{}, "at": after})
 			return
 		case <-r.Context().Done():
 			return
@@ -103,13 +107,13 @@
 
 func (s *Store) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	o, ok := s.kinds[r.PathValue("kind")][r.PathValue("name")]
+	o, ok := s.objects[r.PathValue("kind")][r.PathValue("name")]
 	s.mu.Unlock()
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	reply(w, http.StatusOK, o)
+	writeJSON(w, http.StatusOK, o)
 }
 
 func (s *Store) create(w http.ResponseWriter, r *http.Request) {
@@ -121,26 +125,27 @@
 	kind := r.PathValue("kind")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old, ok := s.kinds[kind][o.Meta.Name]; ok {
-		reply(w, http.StatusConflict, old)
+	if existing, ok := s.objects[kind][o.Meta.Name]; ok {
+		writeJSON(w, http.StatusConflict, existing)
 		return
 	}
 	s.setLocked(kind, o)
-	reply(w, http.StatusOK, s.kinds[kind][o.Meta.Name])
+	writeJSON(w, http.StatusOK, s.objects[kind][o.Meta.Name])
 }
 
 func (s *Store) replace(w http.ResponseWriter, r *http.Request) {
-	s.update(w, r, func(old *object, o object) {
-		old.Spec, old.Meta.Finalizers = o.Spec, o.Meta.Finalizers
+	s.update(w, r, func(stored *object, o object) {
+		stored.Spec, stored.Meta.Finalizers = o.Spec, o.Meta.Finalizers
 	})
 }
 
 func (s *Store) replaceStatus(w http.ResponseWriter, r *http.Request) {
-	s.update(w, r, func(old *object, o object) { old.Status = o.Status })
+	s.update(w, r, func(stored *object, o object) { stored.Status = o.Status })
 }
 
-// update changes an object if the caller's revision is the object's.
-func (s *Store) update(w http.ResponseWriter, r *http.Request, change func(old *object, o object)) {
+// update applies a change to an object if the revision in the request is 0 or
+// equals the object's. A change without an effect gets no new revision.
+func (s *Store) update(w http.ResponseWriter, r *http.Request, apply func(stored *object, o object)) {
 	var o object
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -149,19 +154,19 @@
 	kind, name := r.PathValue("kind"), r.PathValue("name")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	old, ok := s.kinds[kind][name]
+	stored, ok := s.objects[kind][name]
 	switch {
 	case !ok:
 		w.WriteHeader(http.StatusNotFound)
 		return
-	case o.Meta.Revision != 0 && o.Meta.Revision != old.Meta.Revision:
-		reply(w, http.StatusConflict, old)
+	case o.Meta.Revision != 0 && o.Meta.Revision != stored.Meta.Revision:
+		writeJSON(w, http.StatusConflict, stored)
 		return
 	}
-	before := old
-	change(&old, o)
-	if string(before.Spec) != string(old.Spec) || string(before.Status) != string(old.Status) || !slices.Equal(before.Meta.Finalizers, old.Meta.Finalizers) {
-		s.setLocked(kind, old)
+	previous := stored
+	apply(&stored, o)
+	if string(previous.Spec) != string(stored.Spec) || string(previous.Status) != string(stored.Status) || !slices.Equal(previous.Meta.Finalizers, stored.Meta.Finalizers) {
+		s.setLocked(kind, stored)
 	}
-	reply(w, http.StatusOK, s.kinds[kind][name])
+	writeJSON(w, http.StatusOK, s.objects[kind][name])
 }
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -7,20 +7,21 @@
 	"sync"
 )
 
-// maxHistory is how many changes a watch can look back.
+// maxHistory is the number of changes that the store keeps for watches.
 const maxHistory = 1000
 
-// Store is the state of the stand-in. The zero revision is never used.
+// Store is an in-memory store with a handler for the platform's protocol. It is
+// safe for concurrent use. No object has revision 0.
 type Store struct {
-	mu       sync.Mutex
-	revision uint64
-	kinds    map[string]map[string]object
-	history  []event
-	dropped  uint64 // Changes up to this revision are gone.
-	changed  chan struct{}
-	fault    Fault
-	pageSize int
-	calls    int
+	mu        sync.Mutex
+	revision  uint64
+	objects   map[string]map[string]object // Objects by kind and name.
+	history   []event
+	compacted uint64        // The history starts after this revision.
+	changed   chan struct{} // Closed and replaced at each change.
+	fault     Fault
+	pageSize  int
+	calls     int
 }
 
 type object struct {
@@ -43,112 +44,120 @@
 	Deleted bool   `json:"deleted"`
 }
 
-// New returns an empty store whose lists have pages of pageSize objects.
+// New returns an empty store that lists up to pageSize objects per page.
 func New(pageSize int) *Store {
 	return &Store{
-		revision: 1, kinds: make(map[string]map[string]object),
+		revision: 1, objects: make(map[string]map[string]object),
 		changed: make(chan struct{}), pageSize: pageSize,
 	}
 }
 
-// Put sets an object's spec and returns the revision of the change.
+// Put creates the object or replaces its spec, without a condition, and returns
+// the revision of the change.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	raw, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // Tests write what can be encoded.
+		panic(err) // A spec that JSON cannot encode is a mistake in the test.
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := s.kinds[kind][name]
+	o := s.objects[kind][name]
 	o.Meta.Name = name
 	o.Spec = raw
 	return s.setLocked(kind, o)
 }
 
+// setLocked stores o under a new revision, records the change and returns the
+// revision.
 func (s *Store) setLocked(kind string, o object) uint64 {
 	s.revision++
-	if s.kinds[kind] == nil {
-		s.kinds[kind] = make(map[string]object)
+	if s.objects[kind] == nil {
+		s.objects[kind] = make(map[string]object)
 	}
 	o.Meta.Revision = s.revision
 	if o.Meta.CreateRevision == 0 {
 		o.Meta.CreateRevision = s.revision
 	}
-	s.kinds[kind][o.Meta.Name] = o
+	s.objects[kind][o.Meta.Name] = o
 	s.recordLocked(event{kind: kind, Object: o})
 	return s.revision
 }
 
-// Delete removes an object if it is there.
+// Delete removes an object. It does nothing if the object does not exist.
 func (s *Store) Delete(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.kinds[kind][name]
+	o, ok := s.objects[kind][name]
 	if !ok {
 		return
 	}
-	delete(s.kinds[kind], name)
+	delete(s.objects[kind], name)
 	s.revision++
 	s.recordLocked(event{kind: kind, Object: o, Deleted: true})
 }
 
+// recordLocked appends a change to the history and wakes the watches.
 func (s *Store) recordLocked(e event) {
 	e.Object.Meta.Revision = max(e.Object.Meta.Revision, s.revision)
 	s.history = append(s.history, e)
 	if len(s.history) > maxHistory {
-		s.dropped = s.history[0].Object.Meta.Revision
+		s.compacted = s.history[0].Object.Meta.Revision
 		s.history = s.history[1:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history, so that watches from earlier revisions end.
+// Compact drops the history, so that watches from earlier revisions end with
+// status 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
-	s.dropped = s.revision
+	s.compacted = s.revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of HTTP calls that the store received.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Status returns the encoded status of an object, "" if it has none.
+// Status returns the JSON status of an object, or "" if it has none.
 func (s *Store) Status(kind, name string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return string(s.kinds[kind][name].Status)
+	return string(s.objects[kind][name].Status)
 }
 
-// page returns the objects of a kind after a name.
-func (s *Store) page(kind, after string) (items []object, more bool, at uint64) {
+// page returns up to pageSize objects of a kind in the order of their names,
+// starting after the given name. It reports whether there are more objects, and
+// the revision of the store.
+func (s *Store) page(kind, after string) (items []object, more bool, revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(s.kinds[kind])) {
+	for _, name := range slices.Sorted(maps.Keys(s.objects[kind])) {
 		if name <= after {
 			continue
 		}
 		if len(items) == s.pageSize {
 			return items, true, s.revision
 		}
-		items = append(items, s.kinds[kind][name])
+		items = append(items, s.objects[kind][name])
 	}
 	return items, false, s.revision
 }
 
-// since returns the changes of a kind after a revision, or a channel that is
-// closed by the next change. It reports false if the history is gone.
-func (s *Store) since(kind string, after uint64) ([]event, uint64, <-chan struct{}, bool) {
+// changesSince returns the changes of a kind after a revision, the revision of the
+// store, and a channel that the next change closes. It returns false if the
+// history no longer reaches back to the revision.
+func (s *Store) changesSince(kind string, after uint64) ([]event, uint64, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.dropped {
+	if after < s.compacted {
 		return nil, 0, nil, false
 	}
 	var events []event
