--- a/standin/objects/handler.go
+++ b/standin/objects/handler.go
@@ -15,9 +15,10 @@
 
 const (
 	objectsPath = "/v1/objects"
-	// maxBodyBytes is a base64 value of the highest size with its frame.
+	// maxBodyBytes bounds the body of a PUT. It leaves room for a value of
+	// MaxValueBytes in base64 and the JSON around it.
 	maxBodyBytes = 2 * store.MaxValueBytes
-	// maxWait bounds a long poll, whatever the client asks for.
+	// maxWait bounds the wait that a client can request for a watch.
 	maxWait = time.Minute
 )
 
@@ -36,12 +37,13 @@
 	Value    []byte  `json:"value"`
 }
 
-// Handler serves a Store by the object protocol of docs/platform-protocols.md.
-// POST /admin/faults replaces the Faults and GET /admin/calls returns Calls.
-type Handler struct{ s *Store }
+// Handler serves a Store over HTTP by the object protocol of
+// docs/platform-protocols.md. POST /admin/faults replaces the Faults, and GET
+// /admin/calls returns the Calls, both as JSON.
+type Handler struct{ store *Store }
 
 // NewHandler returns a Handler for s.
-func NewHandler(s *Store) *Handler { return &Handler{s: s} }
+func NewHandler(s *Store) *Handler { return &Handler{store: s} }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +52,7 @@
 	case r.URL.Path == "/admin/faults" && r.Method == http.MethodPost:
 		h.setFaults(w, r)
 	case r.URL.Path == "/admin/calls":
-		reply(w, h.s.Calls())
+		writeJSON(w, h.store.Calls())
 	case r.URL.Path == objectsPath:
 		h.list(w, r)
 	case key == r.URL.Path:
@@ -60,35 +62,35 @@
 	case r.URL.Query().Has("seen"):
 		h.watch(w, r, key)
 	default:
-		o, err := h.s.Get(r.Context(), key)
-		replyObject(w, o, err)
+		o, err := h.store.Get(r.Context(), key)
+		writeObject(w, o, err)
 	}
 }
 
 func (h *Handler) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	d := json.NewDecoder(r.Body)
-	// A fault with a wrong name would make a test pass without the fault.
+	// If a misspelled field were ignored, a test could pass without the fault.
 	d.DisallowUnknownFields()
 	if err := d.Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	h.s.SetFaults(f)
-	reply(w, f)
+	h.store.SetFaults(f)
+	writeJSON(w, f)
 }
 
 func (h *Handler) list(w http.ResponseWriter, r *http.Request) {
-	objects, err := h.s.List(r.Context(), r.URL.Query().Get("prefix"))
+	objects, err := h.store.List(r.Context(), r.URL.Query().Get("prefix"))
 	if err != nil {
-		replyObject(w, store.Object{}, err)
+		writeObject(w, store.Object{}, err)
 		return
 	}
 	list := wireList{Objects: []wireObject{}}
 	for _, o := range objects {
 		list.Objects = append(list.Objects, wireObject{o.Key(), o.Version(), o.Value()})
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
 
 func (h *Handler) put(w http.ResponseWriter, r *http.Request, key string) {
@@ -109,8 +111,8 @@
 	if put.Expected != nil {
 		expected = *put.Expected
 	}
-	o, err := h.s.Put(r.Context(), key, put.Value, expected)
-	replyObject(w, o, err)
+	o, err := h.store.Put(r.Context(), key, put.Value, expected)
+	writeObject(w, o, err)
 }
 
 func (h *Handler) watch(w http.ResponseWriter, r *http.Request, key string) {
@@ -125,18 +127,19 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
-	o, err := h.s.Watch(ctx, key, seen)
+	o, err := h.store.Watch(ctx, key, seen)
 	if errors.Is(err, context.DeadlineExceeded) && !errors.Is(err, store.ErrUnavailable) {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	replyObject(w, o, err)
+	writeObject(w, o, err)
 }
 
-func replyObject(w http.ResponseWriter, o store.Object, err error) {
+// writeObject replies with o, or with the HTTP status of err.
+func writeObject(w http.ResponseWriter, o store.Object, err error) {
 	switch {
 	case err == nil:
-		reply(w, wireObject{o.Key(), o.Version(), o.Value()})
+		writeJSON(w, wireObject{o.Key(), o.Version(), o.Value()})
 	case errors.Is(err, store.ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, store.ErrConflict):
@@ -146,7 +149,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/objects/store.go
+++ b/standin/objects/store.go
@@ -11,7 +11,7 @@
 	"medlaryard.example/medlaryard/store"
 )
 
-// Store is an object store in memory.
+// Store is an in-memory object store. It is safe for concurrent use.
 type Store struct {
 	clock clock.Clock
 
@@ -24,7 +24,7 @@
 
 var _ store.Store = (*Store)(nil)
 
-// Calls counts the calls that a Store received.
+// Calls is the number of calls that a Store received, by method.
 type Calls struct {
 	Gets    int `json:"gets"`
 	Puts    int `json:"puts"`
@@ -32,10 +32,11 @@
 	Lists   int `json:"lists"`
 }
 
-// Option changes how New builds a Store.
+// Option configures a Store.
 type Option func(*Store)
 
-// WithClock replaces the system clock for Faults.Delay.
+// WithClock sets the clock that measures Faults.Delay. The default is the system
+// clock.
 func WithClock(c clock.Clock) Option { return func(s *Store) { s.clock = c } }
 
 // New returns an empty Store without faults.
@@ -47,22 +48,22 @@
 	return s
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults. Pending watches see an outage at once.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls that the Store received so far.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 	o := store.NewObject(key, version+1, append([]byte(nil), value...))
 	s.objects[key] = o
-	s.wakeLocked()
+	s.notifyLocked()
 	if s.faults.LosePuts > 0 {
 		s.faults.LosePuts--
 		return store.Object{}, fmt.Errorf("%w: reply to write of %q lost", store.ErrUnavailable, key)
@@ -143,17 +144,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []store.Object
+	var matches []store.Object
 	for key, o := range s.objects {
 		if strings.HasPrefix(key, prefix) {
-			found = append(found, o)
+			matches = append(matches, o)
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Key() < found[j].Key() })
-	return found, nil
+	sort.Slice(matches, func(i, j int) bool { return matches[i].Key() < matches[j].Key() })
+	return matches, nil
 }
 
-// begin counts the call and applies the faults that precede its effect.
+// begin counts the call and applies the faults that precede its effect: the delay
+// and the outage.
 func (s *Store) begin(ctx context.Context, count func(*Calls)) error {
 	s.mu.Lock()
 	count(&s.calls)
@@ -170,7 +172,8 @@
 	return nil
 }
 
-func (s *Store) wakeLocked() {
+// notifyLocked wakes the pending watches.
+func (s *Store) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
