--- a/standin/vms/server.go
+++ b/standin/vms/server.go
@@ -10,7 +10,7 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// VM is one entry of the list.
+// VM is one entry of the VM list.
 type VM struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -19,16 +19,18 @@
 }
 
 type change struct {
-	at     time.Duration
-	vm     VM
-	remove bool
+	visibleAt time.Duration // In time since boot.
+	vm        VM
+	remove    bool
 }
 
-// Server holds VMs and serves them as they were one lag ago.
+// Server serves a VM list in which each change becomes visible after a lag. It is
+// safe for concurrent use.
 //
-// POST /admin/vms with a VM adds or changes it, DELETE /admin/vms?name= removes
-// it, POST /admin/lag with {"lag_ms":N} sets the lag, POST /admin/outage with
-// {"outage":true} fails the list.
+// GET /v1/vms returns the list. POST /admin/vms with a VM adds or changes the VM,
+// DELETE /admin/vms?name= removes it, POST /admin/lag with {"lag_ms":N} sets the
+// lag, and POST /admin/outage with {"outage":true} makes GET /v1/vms fail with
+// status 503.
 type Server struct {
 	clock clock.Clock
 
@@ -36,10 +38,11 @@
 	lag     time.Duration
 	outage  bool
 	visible map[string]VM
-	pending []change
+	pending []change // Changes that are not yet visible, in the order of arrival.
 }
 
-// NewServer returns a Server of the given VMs, all visible at once.
+// NewServer returns a Server with no lag that lists the given VMs. The lag of
+// changes is measured on c.
 func NewServer(c clock.Clock, vms ...VM) *Server {
 	s := &Server{clock: c, visible: make(map[string]VM)}
 	for _, v := range vms {
@@ -48,14 +51,14 @@
 	return s
 }
 
-// SetLag sets the time after which later changes become visible.
+// SetLag sets the lag of later changes.
 func (s *Server) SetLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lag = d
 }
 
-// SetOutage makes the list fail, or ends that.
+// SetOutage starts or ends an outage of the list.
 func (s *Server) SetOutage(outage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,28 +66,28 @@
 }
 
 // Set adds or changes a VM.
-func (s *Server) Set(v VM) { s.add(change{vm: v}) }
+func (s *Server) Set(v VM) { s.addChange(change{vm: v}) }
 
 // Remove removes a VM.
-func (s *Server) Remove(name string) { s.add(change{vm: VM{Name: name}, remove: true}) }
+func (s *Server) Remove(name string) { s.addChange(change{vm: VM{Name: name}, remove: true}) }
 
-// VMs returns what the list shows now, ordered by name.
+// VMs returns the VMs that are visible now, ordered by name.
 func (s *Server) VMs() []VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Boot()
-	var later []change
+	var pending []change
 	for _, c := range s.pending {
 		switch {
-		case c.at > now:
-			later = append(later, c)
+		case c.visibleAt > now:
+			pending = append(pending, c)
 		case c.remove:
 			delete(s.visible, c.vm.Name)
 		default:
 			s.visible[c.vm.Name] = c.vm
 		}
 	}
-	s.pending = later
+	s.pending = pending
 	vms := make([]VM, 0, len(s.visible))
 	for _, v := range s.visible {
 		vms = append(vms, v)
@@ -124,10 +127,10 @@
 	}
 }
 
-func (s *Server) add(c change) {
+func (s *Server) addChange(c change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.at = s.clock.Boot() + s.lag
+	c.visibleAt = s.clock.Boot() + s.lag
 	s.pending = append(s.pending, c)
 }
 
@@ -145,10 +148,12 @@
 	}{s.VMs()})
 }
 
-func decode(w http.ResponseWriter, r *http.Request, into any) bool {
+// decode decodes the JSON body into v, rejecting unknown fields. On failure it
+// replies with status 400 and returns false.
+func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, 1<<20))
 	d.DisallowUnknownFields()
-	if err := d.Decode(into); err != nil {
+	if err := d.Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
