--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -11,92 +11,94 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// fault is one disruption. It ends by itself.
+// fault is a kind of fault. inject starts it and arranges its end.
 type fault struct {
 	name    string
-	planned bool // Work that may cut off no request.
+	planned bool // The fault is a planned operation, which must not cut off requests.
 	inject  func(s *Soak, d time.Duration)
 }
 
-// during sets something for a while.
-func during(d time.Duration, set, unset func()) {
-	set()
+// applyFor calls apply, and revert after d.
+func applyFor(d time.Duration, apply, revert func()) {
+	apply()
 	time.Sleep(d)
-	unset()
+	revert()
 }
 
 var faults = []fault{
-	{"terminate", true, func(s *Soak, _ time.Duration) { s.daemon().terminate() }},
-	{"configuration", true, func(s *Soak, _ time.Duration) { s.configure() }},
-	{"hangup", true, func(s *Soak, _ time.Duration) { s.daemon().signal(syscall.SIGHUP) }},
-	{"kill", false, func(s *Soak, _ time.Duration) { s.daemon().signal(syscall.SIGKILL) }},
+	{"terminate", true, func(s *Soak, _ time.Duration) { s.randomDaemon().terminate() }},
+	{"configuration", true, func(s *Soak, _ time.Duration) { s.putConfig() }},
+	{"hangup", true, func(s *Soak, _ time.Duration) { s.randomDaemon().signal(syscall.SIGHUP) }},
+	{"kill", false, func(s *Soak, _ time.Duration) { s.randomDaemon().signal(syscall.SIGKILL) }},
 	{"kill all", false, func(s *Soak, _ time.Duration) {
 		for _, d := range s.daemons {
 			d.signal(syscall.SIGKILL)
 		}
 	}},
-	{"pause", false, func(s *Soak, d time.Duration) { s.daemon().pause(d) }},
-	{"store down", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Down()) }},
-	{"store hangs", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Hanging()) }},
-	{"store slow", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.Slow(300*time.Millisecond)) }},
-	{"store loses answers", false, func(s *Soak, d time.Duration) { s.storeFault(d, metastore.DroppingReplies()) }},
-	{"store deaf and forgetful", false, func(s *Soak, d time.Duration) {
-		s.storeFault(min(d, time.Second), metastore.StalledWatches())
+	{"pause", false, func(s *Soak, d time.Duration) { s.randomDaemon().pause(d) }},
+	{"store down", false, func(s *Soak, d time.Duration) { s.injectStoreFault(d, metastore.Down()) }},
+	{"store hangs", false, func(s *Soak, d time.Duration) { s.injectStoreFault(d, metastore.Hanging()) }},
+	{"store slow", false, func(s *Soak, d time.Duration) { s.injectStoreFault(d, metastore.Slow(300*time.Millisecond)) }},
+	{"store drops replies", false, func(s *Soak, d time.Duration) { s.injectStoreFault(d, metastore.DroppingReplies()) }},
+	{"store stalls watches and drops history", false, func(s *Soak, d time.Duration) {
+		s.injectStoreFault(min(d, time.Second), metastore.StalledWatches())
 		s.store.Compact()
 	}},
-	{"one daemon without store", false, func(s *Soak, d time.Duration) {
-		p := s.daemon().store
-		during(d, func() { p.set(silent, 0) }, func() { p.set(passing, 0); p.reset() })
+	{"store link of one daemon silent", false, func(s *Soak, d time.Duration) {
+		p := s.randomDaemon().storeProxy
+		applyFor(d, func() { p.setMode(modeDropAll, 0) }, func() { p.setMode(modeForward, 0); p.resetConns() })
 	}},
 	{"store connections reset", false, func(s *Soak, _ time.Duration) {
 		for _, d := range s.daemons {
-			d.store.reset()
+			d.storeProxy.resetConns()
 		}
 	}},
 	{"target link slow", false, func(s *Soak, d time.Duration) {
-		t := s.target()
-		during(d, func() { t.proxy.set(passing, 60*time.Millisecond) }, func() { t.proxy.set(passing, 0) })
+		t := s.randomTarget()
+		applyFor(d, func() { t.proxy.setMode(modeForward, 60*time.Millisecond) }, func() { t.proxy.setMode(modeForward, 0) })
 	}},
 	{"target link silent", false, func(s *Soak, d time.Duration) {
-		t := s.target()
-		during(d, func() { t.proxy.set(silent, 0) }, func() { t.proxy.set(passing, 0); t.proxy.reset() })
+		t := s.randomTarget()
+		applyFor(d, func() { t.proxy.setMode(modeDropAll, 0) }, func() { t.proxy.setMode(modeForward, 0); t.proxy.resetConns() })
 	}},
-	{"target link one way", false, func(s *Soak, d time.Duration) {
-		t := s.target()
-		during(d, func() { t.proxy.set(answers, 0) }, func() { t.proxy.set(passing, 0); t.proxy.reset() })
+	{"target link drops replies", false, func(s *Soak, d time.Duration) {
+		t := s.randomTarget()
+		applyFor(d, func() { t.proxy.setMode(modeDropReplies, 0) }, func() { t.proxy.setMode(modeForward, 0); t.proxy.resetConns() })
 	}},
-	{"target link reset", false, func(s *Soak, _ time.Duration) { s.target().proxy.reset() }},
+	{"target link reset", false, func(s *Soak, _ time.Duration) { s.randomTarget().proxy.resetConns() }},
 	{"target refuses", false, func(s *Soak, d time.Duration) {
-		t := s.target()
-		during(d, func() { t.proxy.set(refusing, 0); t.proxy.reset() }, func() { t.proxy.set(passing, 0) })
+		t := s.randomTarget()
+		applyFor(d, func() { t.proxy.setMode(modeRefuse, 0); t.proxy.resetConns() }, func() { t.proxy.setMode(modeForward, 0) })
 	}},
-	{"target slow", false, func(s *Soak, d time.Duration) { s.become(d, shards.Slow(10)) }},
-	{"target fails", false, func(s *Soak, d time.Duration) { s.become(d, shards.Failing(0.5), shards.Shedding(0.2)) }},
-	{"target doubles and loses answers", false, func(s *Soak, d time.Duration) {
-		s.become(d, shards.Duplicating(0.3), shards.DroppingReplies(0.2))
+	{"target slow", false, func(s *Soak, d time.Duration) { s.degradeTarget(d, shards.Slow(10)) }},
+	{"target fails", false, func(s *Soak, d time.Duration) { s.degradeTarget(d, shards.Failing(0.5), shards.Shedding(0.2)) }},
+	{"target duplicates and drops replies", false, func(s *Soak, d time.Duration) {
+		s.degradeTarget(d, shards.Duplicating(0.3), shards.DroppingReplies(0.2))
 	}},
 }
 
-func (s *Soak) daemon() *process { return s.daemons[s.draw(len(s.daemons))] }
+func (s *Soak) randomDaemon() *process { return s.daemons[s.randIntn(len(s.daemons))] }
 
-func (s *Soak) target() *remote { return s.targets[s.draw(len(s.targets))] }
+func (s *Soak) randomTarget() *proxiedTarget { return s.targets[s.randIntn(len(s.targets))] }
 
-func (s *Soak) become(d time.Duration, opts ...shards.Option) {
-	t := s.target()
-	during(d, func() { t.SetBehaviour(sound().With(opts...)) }, func() { t.SetBehaviour(sound()) })
+// degradeTarget applies opts to a random target for d.
+func (s *Soak) degradeTarget(d time.Duration, opts ...shards.Option) {
+	t := s.randomTarget()
+	applyFor(d, func() { t.SetBehaviour(healthyBehaviour().With(opts...)) }, func() { t.SetBehaviour(healthyBehaviour()) })
 }
 
-func (s *Soak) storeFault(d time.Duration, f metastore.Fault) {
-	during(d, func() { s.store.Inject(f) }, func() { s.store.Inject(metastore.Healthy()) })
+func (s *Soak) injectStoreFault(d time.Duration, f metastore.Fault) {
+	applyFor(d, func() { s.store.Inject(f) }, func() { s.store.Inject(metastore.Healthy()) })
 }
 
-// configure writes a new version of the configuration with another extra route.
-func (s *Soak) configure() {
+// putConfig writes a new version of the configuration, with an extra route whose
+// path contains the version.
+func (s *Soak) putConfig() {
 	s.mu.Lock()
 	s.version++
 	version := s.version
 	s.mu.Unlock()
-	cfg := platformtest.NewConfig(version, maxBody)
+	cfg := platformtest.NewConfig(version, maxBodyBytes)
 	cfg.Service("plays", targetConnections)
 	var names []string
 	for i := range shardCount {
@@ -105,18 +107,18 @@
 		cfg.Service(name, targetConnections)
 	}
 	sharded := platformtest.Shards(names, topRecords, float64(minShards)/shardCount)
-	cfg.Route("match", host, "/match/", routeTimeout, routeObjective, sharded)
-	cfg.Route("extra", host, fmt.Sprintf("/extra%d/", version), routeTimeout, routeObjective, sharded)
-	cfg.Route("play", host, "/play/", routeTimeout, routeObjective, platformtest.Single("plays"), platformtest.Once())
+	cfg.Route("match", hostName, "/match/", routeTimeout, routeObjective, sharded)
+	cfg.Route("extra", hostName, fmt.Sprintf("/extra%d/", version), routeTimeout, routeObjective, sharded)
+	cfg.Route("play", hostName, "/play/", routeTimeout, routeObjective, platformtest.Single("plays"), platformtest.Once())
 	s.store.Put(platform.KindConfig, "main", cfg.Object())
 }
 
 const (
-	// targetConnections is how many connections a target accepts.
+	// targetConnections is the connection limit of a target in the configuration.
 	targetConnections = 60
-	// maxBody is the size in bytes that callers' bodies may have.
-	maxBody = 64 << 10
-	// routeTimeout and routeObjective are those of all routes.
+	// maxBodyBytes is the size limit of request bodies.
+	maxBodyBytes = 64 << 10
+	// routeTimeout and routeObjective apply to all routes.
 	routeTimeout   = 2 * time.Second
 	routeObjective = 300 * time.Millisecond
 )
--- a/standin/soak/process.go
+++ b/standin/soak/process.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// process is one daemon. It is started again when it ends.
+// process is a daemon process that is restarted whenever it exits, until stop.
 type process struct {
-	name     string
-	ip       string
-	binary   string
-	settings string
-	log      string
-	store    *proxy
+	name         string
+	ip           string
+	binary       string
+	settingsFile string
+	logFile      string
+	storeProxy   *proxy
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	done    chan struct{}
-	down    bool
-	paused  bool
-	killed  bool
-	strange []string // Ends that nobody caused.
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	stopped      bool
+	paused       bool
+	endRequested bool
+	violations   []string // Unexpected exits, failed restarts and exceeded shutdown timeouts.
 }
 
 const (
@@ -34,13 +34,14 @@
 	directoryPort = 28100
 	operatorsPort = 28106
 	peersPort     = 27380
-	// graceTime is the time from SIGTERM until SIGKILL.
-	graceTime = 3 * time.Second
-	// restartDelay is the pause before an ended process is started again.
+	// shutdownTimeout is the time in which a daemon must exit after SIGTERM.
+	shutdownTimeout = 3 * time.Second
+	// restartDelay is the time from the exit of a process to its restart.
 	restartDelay = 200 * time.Millisecond
 )
 
-// writeSettings writes the settings of a daemon.
+// writeSettings writes the settings file of a daemon to dir. seeds is the list of
+// the peers' addresses in YAML.
 func (p *process) writeSettings(dir, seeds string) error {
 	text := fmt.Sprintf(`name: "%s"
 zone: a
@@ -57,47 +58,48 @@
 store: {address: "%[9]s"}
 shutdown_ms: %[10]d
 extra_sends: {ratio: %[11]g, slack: %[12]d}
-`, p.name, p.ip, callersPort, readyPort, directoryPort, operatorsPort, peersPort, seeds, p.store.address(),
-		graceTime.Milliseconds(), extraRatio, extraSlack)
-	p.settings = filepath.Join(dir, p.name+".yaml")
-	p.log = filepath.Join(dir, p.name+".log")
-	return os.WriteFile(p.settings, []byte(text), 0o600)
+`, p.name, p.ip, callersPort, readyPort, directoryPort, operatorsPort, peersPort, seeds, p.storeProxy.address(),
+		shutdownTimeout.Milliseconds(), extraRatio, extraSlack)
+	p.settingsFile = filepath.Join(dir, p.name+".yaml")
+	p.logFile = filepath.Join(dir, p.name+".log")
+	return os.WriteFile(p.settingsFile, []byte(text), 0o600)
 }
 
+// start starts the daemon and a goroutine that restarts it when it exits.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(p.binary, "node", p.settings)
+	cmd := exec.Command(p.binary, "node", p.settingsFile)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		_ = out.Close() // The first error tells more.
+		_ = out.Close() // The error of Start is the cause.
 		return err
 	}
-	done := make(chan struct{})
-	p.cmd, p.done, p.killed, p.paused = cmd, done, false, false
+	exited := make(chan struct{})
+	p.cmd, p.exited, p.endRequested, p.paused = cmd, exited, false, false
 	go func() {
 		err := cmd.Wait()
-		_ = out.Close() // Nothing more is written.
+		_ = out.Close() // The process has exited and writes no more.
 		p.mu.Lock()
-		if !p.killed {
-			p.strange = append(p.strange, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+		if !p.endRequested {
+			p.violations = append(p.violations, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 		}
-		again := !p.down
+		restart := !p.stopped
 		p.mu.Unlock()
-		close(done)
-		if again {
+		close(exited)
+		if restart {
 			time.Sleep(restartDelay)
 			p.mu.Lock()
-			again = !p.down
+			restart = !p.stopped
 			p.mu.Unlock()
-			if again {
+			if restart {
 				if err := p.start(); err != nil {
 					p.mu.Lock()
-					p.strange = append(p.strange, fmt.Sprintf("%s did not start: %v", p.name, err))
+					p.violations = append(p.violations, fmt.Sprintf("%s failed to restart: %v", p.name, err))
 					p.mu.Unlock()
 				}
 			}
@@ -106,19 +108,20 @@
 	return nil
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the current process.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		p.killed = true
+		p.endRequested = true
 	}
 	if p.paused && s == syscall.SIGTERM {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // A paused process cannot end.
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // A process paused by SIGSTOP cannot handle SIGTERM.
 	}
-	_ = p.cmd.Process.Signal(s) // One that has just ended needs none.
+	_ = p.cmd.Process.Signal(s) // Fails if the process has just exited.
 }
 
+// pause stops the process for d with SIGSTOP.
 func (p *process) pause(d time.Duration) {
 	p.signal(syscall.SIGSTOP)
 	p.mu.Lock()
@@ -130,35 +133,36 @@
 		defer p.mu.Unlock()
 		if p.cmd == cmd {
 			p.paused = false
-			_ = cmd.Process.Signal(syscall.SIGCONT) // One that has ended needs none.
+			_ = cmd.Process.Signal(syscall.SIGCONT) // Fails if the process has exited.
 		}
 	})
 }
 
-// terminate asks the process to end and kills it after the grace time.
+// terminate sends SIGTERM, and SIGKILL if the process still runs one second after
+// shutdownTimeout.
 func (p *process) terminate() {
 	p.mu.Lock()
-	done := p.done
+	exited := p.exited
 	p.mu.Unlock()
 	p.signal(syscall.SIGTERM)
 	select {
-	case <-done:
-	case <-time.After(graceTime + time.Second):
+	case <-exited:
+	case <-time.After(shutdownTimeout + time.Second):
 		p.mu.Lock()
-		p.strange = append(p.strange, p.name+" outlived its grace time")
+		p.violations = append(p.violations, p.name+" did not exit within its shutdown timeout after SIGTERM; killing it")
 		p.mu.Unlock()
 		p.signal(syscall.SIGKILL)
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process and does not restart it.
 func (p *process) stop() {
 	p.mu.Lock()
-	p.down = true
-	done := p.done
+	p.stopped = true
+	exited := p.exited
 	p.mu.Unlock()
 	p.signal(syscall.SIGKILL)
 	p.signal(syscall.SIGCONT)
-	<-done
-	p.store.close()
+	<-exited
+	p.storeProxy.close()
 }
--- a/standin/soak/proxy.go
+++ b/standin/soak/proxy.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// proxy passes connections on to one address and misbehaves on demand.
+// proxy forwards TCP connections to one address and injects faults according to its
+// mode.
 type proxy struct {
-	l  net.Listener
-	to string
+	listener net.Listener
+	upstream string
 
 	mu    sync.Mutex
 	mode  mode
@@ -18,22 +19,22 @@
 	wg    sync.WaitGroup
 }
 
-// mode is how a proxy treats bytes.
+// mode is the way in which a proxy treats connections and their data.
 type mode int
 
 const (
-	passing  mode = iota
-	silent        // Nothing passes and nothing is closed.
-	answers       // Requests pass, answers do not.
-	refusing      // New connections are reset.
+	modeForward     mode = iota
+	modeDropAll          // Drops all data and keeps connections open.
+	modeDropReplies      // Forwards requests and drops replies.
+	modeRefuse           // Resets new connections.
 )
 
-func newProxy(listen, to string) (*proxy, error) {
+func newProxy(listen, upstream string) (*proxy, error) {
 	l, err := net.Listen("tcp4", listen)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{l: l, to: to, conns: make(map[net.Conn]struct{})}
+	p := &proxy{listener: l, upstream: upstream, conns: make(map[net.Conn]struct{})}
 	p.wg.Add(1)
 	go func() {
 		defer p.wg.Done()
@@ -42,9 +43,9 @@
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.l.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) set(m mode, delay time.Duration) {
+func (p *proxy) setMode(m mode, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode, p.delay = m, delay
@@ -56,59 +57,60 @@
 	return p.mode, p.delay
 }
 
-// reset cuts all open connections.
-func (p *proxy) reset() {
+// resetConns resets all open connections.
+func (p *proxy) resetConns() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		abort(c)
+		resetConn(c)
 	}
 }
 
-// abort closes a connection with a reset.
-func abort(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // An orderly close is a cut as well.
+		_ = tcp.SetLinger(0) // If this fails, the connection closes with a FIN, which interrupts it too.
 	}
 	_ = c.Close()
 }
 
 func (p *proxy) close() {
-	_ = p.l.Close()
-	p.reset()
+	_ = p.listener.Close()
+	p.resetConns()
 	p.wg.Wait()
 }
 
 func (p *proxy) accept() {
 	for {
-		near, err := p.l.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
-			return // Closed.
+			return // The listener is closed.
 		}
-		if m, _ := p.state(); m == refusing {
-			abort(near)
+		if m, _ := p.state(); m == modeRefuse {
+			resetConn(client)
 			continue
 		}
-		far, err := net.Dial("tcp4", p.to)
+		upstream, err := net.Dial("tcp4", p.upstream)
 		if err != nil {
-			abort(near)
+			resetConn(client)
 			continue
 		}
 		p.mu.Lock()
-		p.conns[near], p.conns[far] = struct{}{}, struct{}{}
+		p.conns[client], p.conns[upstream] = struct{}{}, struct{}{}
 		p.mu.Unlock()
 		p.wg.Add(2)
-		go p.pipe(near, far, false)
-		go p.pipe(far, near, true)
+		go p.pipe(client, upstream, false)
+		go p.pipe(upstream, client, true)
 	}
 }
 
-// pipe copies one direction. Back is the direction of answers.
-func (p *proxy) pipe(from, to net.Conn, back bool) {
+// pipe copies data in one direction until a connection fails, then resets both.
+// isReply is true for the direction from upstream to the client.
+func (p *proxy) pipe(from, to net.Conn, isReply bool) {
 	defer p.wg.Done()
 	defer func() {
-		abort(from)
-		abort(to)
+		resetConn(from)
+		resetConn(to)
 		p.mu.Lock()
 		delete(p.conns, from)
 		delete(p.conns, to)
@@ -117,7 +119,7 @@
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !p.pass(to, buf[:n], back) {
+		if n > 0 && !p.forward(to, buf[:n], isReply) {
 			return
 		}
 		if err != nil {
@@ -126,12 +128,13 @@
 	}
 }
 
-// pass forwards bytes unless the mode swallows them.
-func (p *proxy) pass(to net.Conn, b []byte, back bool) bool {
+// forward writes b to a connection after the proxy's delay, unless the mode drops
+// it. It returns false if the write fails.
+func (p *proxy) forward(to net.Conn, b []byte, isReply bool) bool {
 	m, delay := p.state()
 	time.Sleep(delay)
-	if m == silent || m == answers && back {
-		return true // Lost, as behind a device that has forgotten the connection.
+	if m == modeDropAll || m == modeDropReplies && isReply {
+		return true // Dropped, as by a firewall that lost the connection's state.
 	}
 	_, err := to.Write(b)
 	return err == nil
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -19,72 +19,78 @@
 )
 
 const (
-	host       = "songs.example"
+	hostName   = "songs.example"
 	shardCount = 6
+	// minShards is the number of parts that a successful response must have.
 	minShards  = 5
 	topRecords = 10
 	extraRatio = 0.2
 	extraSlack = 54
-	// calm is how long after a disruption the bounds of the promises hold again.
-	calm = 4 * time.Second
-	// recovery is the time within which service is back after the last fault.
-	recovery = 12 * time.Second
+	// settleTime is the time after an unplanned fault until the guarantees hold
+	// again.
+	settleTime = 4 * time.Second
+	// recoveryTimeout bounds the time from the last fault until all daemons serve
+	// again.
+	recoveryTimeout = 12 * time.Second
 )
 
-// Soak is one run.
+// Soak is the state of one run.
 type Soak struct {
 	out     io.Writer
 	store   *metastore.Store
 	server  *http.Server
 	daemons []*process
-	targets []*remote
+	targets []*proxiedTarget
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	version   int
-	outcomes  []outcome
-	unplanned []span
+	mu              sync.Mutex
+	rng             *rand.Rand
+	version         int
+	outcomes        []outcome
+	unplannedFaults []interval
 }
 
-// span is the time of one unplanned fault.
-type span struct{ from, to time.Time }
+// interval is the duration of an unplanned fault.
+type interval struct{ start, end time.Time }
 
-// remote is a target behind a proxy.
-type remote struct {
+// proxiedTarget is a target that daemons reach through a proxy.
+type proxiedTarget struct {
 	*shards.Target
-	proxy *proxy
-	l     net.Listener
+	proxy    *proxy
+	listener net.Listener
 }
 
-func sound() shards.Behaviour {
+func healthyBehaviour() shards.Behaviour {
 	return shards.NewBehaviour(3*time.Millisecond, shards.Slots(4), shards.Spread(0.3))
 }
 
-// Config is what a run needs.
+// Config is the configuration of a run.
 type Config struct {
-	binary  string
-	dir     string
-	daemons int
-	length  time.Duration
-	apply   time.Duration
+	binary        string
+	dir           string
+	daemons       int
+	faultDuration time.Duration
+	applyTimeout  time.Duration
 }
 
-// NewConfig returns the plan of a run: the daemon's binary, a directory for
-// settings and logs, the number of daemons, for how long faults are injected,
-// and the time within which a configuration is in force when all is calm.
-func NewConfig(binary, dir string, daemons int, length, apply time.Duration) Config {
-	return Config{binary: binary, dir: dir, daemons: daemons, length: length, apply: apply}
+// NewConfig returns the configuration of a run. binary is the path of the daemon,
+// dir the directory for its settings and logs, and daemons the number of processes.
+// Run injects faults for faultDuration. applyTimeout bounds the time in which a new
+// configuration must take effect on all daemons once the faults have ended.
+func NewConfig(binary, dir string, daemons int, faultDuration, applyTimeout time.Duration) Config {
+	return Config{binary: binary, dir: dir, daemons: daemons, faultDuration: faultDuration, applyTimeout: applyTimeout}
 }
 
-// Run plays the faults that seed draws and returns what was violated.
+// Run injects the faults that seed determines and returns the violations of the
+// guarantees. It logs the faults and the results to out. It returns an error if the
+// setup fails.
 func Run(cfg Config, seed int64, out io.Writer) ([]string, error) {
 	s := &Soak{out: out, store: metastore.New(50), rng: rand.New(rand.NewSource(seed))}
 	defer s.close()
 	if err := s.start(cfg); err != nil {
 		return nil, err
 	}
-	if !s.serves(recovery) {
-		return []string{"the daemons do not serve after their start"}, nil
+	if !s.waitUntilServing(recoveryTimeout) {
+		return []string{"not all daemons serve requests after their start"}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -95,26 +101,27 @@
 			s.newCaller(seed*1000+int64(i)).run(ctx, fmt.Sprintf("s%d-c%d", seed, i))
 		}()
 	}
-	s.disturb(cfg.length)
+	s.injectFaults(cfg.faultDuration)
 	var violations []string
-	if !s.serves(recovery) {
-		violations = append(violations, fmt.Sprintf("not back in service within %v of the last fault", recovery))
+	if !s.waitUntilServing(recoveryTimeout) {
+		violations = append(violations, fmt.Sprintf("not all daemons serve requests within %v of the last fault", recoveryTimeout))
 	}
-	time.Sleep(calm)
-	violations = append(violations, s.checkApply(cfg.apply)...)
+	time.Sleep(settleTime)
+	violations = append(violations, s.checkApply(cfg.applyTimeout)...)
 	cancel()
 	wg.Wait()
-	time.Sleep(patience) // Requests that were promised not to run would run by now.
-	return append(violations, s.verdict()...), nil
+	time.Sleep(requestTimeout) // A refused request that is still queued by mistake runs within this time.
+	return append(violations, s.checkOutcomes()...), nil
 }
 
+// start starts the store, the targets and the daemons.
 func (s *Soak) start(cfg Config) error {
 	l, err := net.Listen("tcp4", "127.0.90.1:0")
 	if err != nil {
 		return err
 	}
 	s.server = &http.Server{Handler: s.store.Handler()}
-	go func() { _ = s.server.Serve(l) }() // It ends with close.
+	go func() { _ = s.server.Serve(l) }() // Returns when close closes the server.
 	e := shards.New(s.rng.Int63())
 	for i := range shardCount {
 		for j := range 2 {
@@ -128,14 +135,14 @@
 			return err
 		}
 	}
-	s.configure()
+	s.putConfig()
 	seeds := fmt.Sprintf(`"127.0.92.1:%d", "127.0.92.2:%[1]d"`, operatorsPort)
 	for i := range cfg.daemons {
 		p, err := newProxy("127.0.93.1:0", l.Addr().String())
 		if err != nil {
 			return err
 		}
-		d := &process{name: fmt.Sprintf("d%d", i+1), ip: fmt.Sprintf("127.0.92.%d", i+1), binary: cfg.binary, store: p}
+		d := &process{name: fmt.Sprintf("d%d", i+1), ip: fmt.Sprintf("127.0.92.%d", i+1), binary: cfg.binary, storeProxy: p}
 		if err := d.writeSettings(cfg.dir, seeds); err != nil {
 			return err
 		}
@@ -153,55 +160,58 @@
 	if err != nil {
 		return err
 	}
-	t := e.Add(id, sound())
-	go func() { _ = t.Listen(l) }() // It ends when the listener is closed.
+	t := e.Add(id, healthyBehaviour())
+	go func() { _ = t.Listen(l) }() // Returns when close closes the listener.
 	p, err := newProxy("127.0.91.2:0", l.Addr().String())
 	if err != nil {
 		return err
 	}
-	s.targets = append(s.targets, &remote{Target: t, proxy: p, l: l})
+	s.targets = append(s.targets, &proxiedTarget{Target: t, proxy: p, listener: l})
 	zone := []string{"a", "b"}[n%2]
 	s.store.Put(platform.KindTargets, id, platformtest.NewTarget(service, p.address(), zone, 4).Object())
 	return nil
 }
 
-func (s *Soak) draw(n int) int {
+func (s *Soak) randIntn(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Intn(n)
 }
 
-// disturb injects faults, one after the other and up to three at once.
-func (s *Soak) disturb(length time.Duration) {
-	const most = 3
-	slots := make(chan struct{}, most)
+// injectFaults starts random faults for the given time, up to three at once, and
+// waits until they end.
+func (s *Soak) injectFaults(duration time.Duration) {
+	const maxConcurrent = 3
+	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
-	for end := time.Now().Add(length); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		slots <- struct{}{}
-		f := faults[s.draw(len(faults))]
-		d := time.Duration(300+s.draw(2500)) * time.Millisecond
+		f := faults[s.randIntn(len(faults))]
+		d := time.Duration(300+s.randIntn(2500)) * time.Millisecond
 		fmt.Fprintf(s.out, "%s %s for %v\n", time.Now().Format("15:04:05.000"), f.name, d)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.play(f, d)
+			s.runFault(f, d)
 			<-slots
 		}()
-		time.Sleep(time.Duration(s.draw(1200)) * time.Millisecond)
+		time.Sleep(time.Duration(s.randIntn(1200)) * time.Millisecond)
 	}
 	wg.Wait()
 }
 
-func (s *Soak) play(f fault, d time.Duration) {
-	from := time.Now()
+// runFault injects f for d and records the interval in which an unplanned fault may
+// cut off requests.
+func (s *Soak) runFault(f fault, d time.Duration) {
+	start := time.Now()
 	if !f.planned {
 		s.mu.Lock()
-		s.unplanned = append(s.unplanned, span{from, from.Add(time.Hour)})
-		i := len(s.unplanned) - 1
+		s.unplannedFaults = append(s.unplannedFaults, interval{start, start.Add(time.Hour)})
+		i := len(s.unplannedFaults) - 1
 		s.mu.Unlock()
 		defer func() {
 			s.mu.Lock()
-			s.unplanned[i].to = time.Now().Add(d)
+			s.unplannedFaults[i].end = time.Now().Add(d)
 			s.mu.Unlock()
 		}()
 	}
@@ -214,8 +224,9 @@
 	s.outcomes = append(s.outcomes, o)
 }
 
-// serves waits until every daemon answers a request of each kind.
-func (s *Soak) serves(within time.Duration) bool {
+// waitUntilServing waits until every daemon answers a request of each kind. It
+// returns false on timeout.
+func (s *Soak) waitUntilServing(within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		ok := true
 		for i, d := range s.daemons {
@@ -232,33 +243,36 @@
 	return false
 }
 
-// checkApply changes the configuration and waits until all daemons follow.
+// checkApply changes the configuration and returns the daemons that do not apply it
+// in time.
 func (s *Soak) checkApply(within time.Duration) []string {
-	s.configure()
-	began := time.Now()
+	s.putConfig()
+	start := time.Now()
 	path := fmt.Sprintf("/extra%d/1", s.version)
-	var late []string
+	var violations []string
 	for _, d := range s.daemons {
-		for s.status(d.ip, path) != http.StatusOK {
-			if time.Since(began) > within {
-				late = append(late, fmt.Sprintf("%s has no new configuration after %v", d.name, within))
+		for s.requestStatus(d.ip, path) != http.StatusOK {
+			if time.Since(start) > within {
+				violations = append(violations, fmt.Sprintf("%s has not applied the new configuration after %v", d.name, within))
 				break
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	fmt.Fprintf(s.out, "configuration in force after %v\n", time.Since(began).Round(time.Millisecond))
-	return late
+	fmt.Fprintf(s.out, "configuration in force after %v\n", time.Since(start).Round(time.Millisecond))
+	return violations
 }
 
-func (s *Soak) status(ip, path string) int {
-	client := &http.Client{Timeout: patience}
+// requestStatus requests path from a daemon and returns the status, or 0 without a
+// response.
+func (s *Soak) requestStatus(ip, path string) int {
+	client := &http.Client{Timeout: requestTimeout}
 	defer client.CloseIdleConnections()
 	req, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s:%d%s", ip, callersPort, path), nil)
 	if err != nil {
 		return 0
 	}
-	req.Host = host
+	req.Host = hostName
 	req.Header.Set(platform.HeaderRequestID, fmt.Sprintf("a-%d", time.Now().UnixNano()))
 	req.Header.Set(platform.HeaderDeadline, "2000")
 	resp, err := client.Do(req)
@@ -269,53 +283,57 @@
 	return resp.StatusCode
 }
 
-// verdict checks all that callers and targets saw.
-func (s *Soak) verdict() []string {
+// checkOutcomes returns the violations that the outcomes of all requests show, and
+// those that the daemon processes recorded.
+func (s *Soak) checkOutcomes() []string {
 	runs := make(map[string]int)
 	for _, t := range s.targets {
 		for id, n := range t.Runs() {
 			runs[id] += n
 		}
 	}
-	var bad []string
+	var violations []string
 	statuses := make(map[int]int)
 	for _, o := range s.outcomes {
 		statuses[o.status]++
-		bad = append(bad, s.judge(o, runs[o.id])...)
+		violations = append(violations, s.checkOutcome(o, runs[o.id])...)
 	}
 	for _, d := range s.daemons {
-		bad = append(bad, d.strange...)
+		violations = append(violations, d.violations...)
 	}
 	fmt.Fprintf(s.out, "%d requests, by status: %v\n", len(s.outcomes), statuses)
-	slices.Sort(bad)
-	return slices.Compact(bad)
+	slices.Sort(violations)
+	return slices.Compact(violations)
 }
 
-func (s *Soak) judge(o outcome, runs int) []string {
-	var bad []string
-	what := fmt.Sprintf("request %s to %s at %s, status %d %s:", o.id, o.ip, o.began.Format("15:04:05.000"), o.status, o.err)
-	if o.wrong != "" {
-		bad = append(bad, what+" "+o.wrong)
+// checkOutcome returns the violations of one request, which ran the given number of
+// times.
+func (s *Soak) checkOutcome(o outcome, runs int) []string {
+	var violations []string
+	prefix := fmt.Sprintf("request %s to %s at %s, status %d %s:", o.id, o.ip, o.start.Format("15:04:05.000"), o.status, o.err)
+	if o.mismatch != "" {
+		violations = append(violations, prefix+" "+o.mismatch)
 	}
 	if o.once && runs > 1 {
-		bad = append(bad, fmt.Sprintf("%s ran %d times", what, runs))
+		violations = append(violations, fmt.Sprintf("%s ran %d times", prefix, runs))
 	}
 	if (o.status == 503 || o.status == 429) && runs > 0 {
-		bad = append(bad, fmt.Sprintf("%s ran %d times although it was refused", what, runs))
+		violations = append(violations, fmt.Sprintf("%s ran %d times although the daemon refused it", prefix, runs))
 	}
 	if o.status == 404 || o.status == 400 || o.status == 413 {
-		bad = append(bad, what+" the route is in every configuration")
+		violations = append(violations, prefix+" was rejected although its route is in every configuration")
 	}
-	if o.status == 0 && runs > 0 && !s.disturbed(o) && !strings.Contains(o.err, "deadline") {
-		bad = append(bad, what+" was cut off although only planned work was under way")
+	if o.status == 0 && runs > 0 && !s.overlapsUnplannedFault(o) && !strings.Contains(o.err, "deadline") {
+		violations = append(violations, prefix+" ran but got no response although no unplanned fault was active")
 	}
-	return bad
+	return violations
 }
 
-// disturbed reports whether an unplanned fault touched the request.
-func (s *Soak) disturbed(o outcome) bool {
-	for _, u := range s.unplanned {
-		if o.ended.After(u.from) && o.began.Before(u.to.Add(calm)) {
+// overlapsUnplannedFault reports whether the request overlaps an unplanned fault or
+// the settleTime after it.
+func (s *Soak) overlapsUnplannedFault(o outcome) bool {
+	for _, f := range s.unplannedFaults {
+		if o.end.After(f.start) && o.start.Before(f.end.Add(settleTime)) {
 			return true
 		}
 	}
@@ -327,11 +345,11 @@
 		d.stop()
 	}
 	for _, t := range s.targets {
-		_ = t.l.Close()
+		_ = t.listener.Close()
 		t.proxy.close()
-		t.SetBehaviour(sound().With(shards.Down()))
+		t.SetBehaviour(healthyBehaviour().With(shards.Down()))
 	}
 	if s.server != nil {
-		_ = s.server.Close() // Nothing is lost with the stand-in.
+		_ = s.server.Close() // The stand-in has no data to save.
 	}
 }
--- a/standin/soak/soak_test.go
+++ b/standin/soak/soak_test.go
@@ -8,14 +8,17 @@
 	"time"
 )
 
-// applyBound is far above the time that a configuration takes, so that the
-// verdict does not depend on the machine; runs by hand use the promised 3 s.
-const applyBound = time.Minute
+// applyTimeout is far above the time in which a configuration takes effect, so that
+// the result does not depend on the speed of the machine. Manual runs use the
+// guaranteed 3 s.
+const applyTimeout = time.Minute
 
-// seeds are played in CI. A seed that ever failed stays here with its cause.
+// seeds are the seeds that CI runs. A seed that once failed stays in the list, with
+// a comment on the cause.
 var seeds = []int64{1}
 
-// Guards against violated promises under faults that overlap, with daemons as
+// Guards against violations of the guarantees when several faults affect the
+// daemons, their store and their targets at the same time. The daemons run as
 // separate processes.
 func TestSeeds(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "medlaryard")
@@ -24,12 +27,12 @@
 	}
 	for _, seed := range seeds {
 		var log bytes.Buffer
-		bad, err := Run(NewConfig(binary, t.TempDir(), 3, 5*time.Second, applyBound), seed, &log)
+		violations, err := Run(NewConfig(binary, t.TempDir(), 3, 5*time.Second, applyTimeout), seed, &log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range bad {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, v := range violations {
+			t.Errorf("seed %d: %s", seed, v)
 		}
 		if t.Failed() {
 			t.Log(log.String())
