--- a/peer/handlers.go
+++ b/peer/handlers.go
@@ -8,8 +8,8 @@
 	"medlaryard.example/medlaryard/peer/peerpb"
 )
 
-// Handlers holds one function per rpc. A call of an rpc without a function is
-// answered as unimplemented.
+// Handlers contains one function per RPC. The server answers a call of an RPC
+// without a function with the Twirp error unimplemented.
 type Handlers struct {
 	Relay     func(context.Context, *peerpb.RelayRequest) (*peerpb.RelayReply, error)
 	Heartbeat func(context.Context, *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error)
@@ -20,41 +20,42 @@
 	Report    func(context.Context, *peerpb.ReportRequest) (*peerpb.ReportReply, error)
 }
 
-// service adapts Handlers to the generated interface.
+// service implements the generated interface peerpb.Peer with Handlers.
 type service struct{ h Handlers }
 
 func (s service) Relay(ctx context.Context, in *peerpb.RelayRequest) (*peerpb.RelayReply, error) {
-	return serve(ctx, s.h.Relay, in)
+	return callHandler(ctx, s.h.Relay, in)
 }
 
 func (s service) Heartbeat(ctx context.Context, in *peerpb.HeartbeatRequest) (*peerpb.HeartbeatReply, error) {
-	return serve(ctx, s.h.Heartbeat, in)
+	return callHandler(ctx, s.h.Heartbeat, in)
 }
 
 func (s service) Sync(ctx context.Context, in *peerpb.SyncRequest) (*peerpb.SyncReply, error) {
-	return serve(ctx, s.h.Sync, in)
+	return callHandler(ctx, s.h.Sync, in)
 }
 
 func (s service) Release(ctx context.Context, in *peerpb.ReleaseRequest) (*peerpb.ReleaseReply, error) {
-	return serve(ctx, s.h.Release, in)
+	return callHandler(ctx, s.h.Release, in)
 }
 
 func (s service) Outcome(ctx context.Context, in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
-	return serve(ctx, s.h.Outcome, in)
+	return callHandler(ctx, s.h.Outcome, in)
 }
 
 func (s service) Strike(ctx context.Context, in *peerpb.StrikeRequest) (*peerpb.StrikeReply, error) {
-	return serve(ctx, s.h.Strike, in)
+	return callHandler(ctx, s.h.Strike, in)
 }
 
 func (s service) Report(ctx context.Context, in *peerpb.ReportRequest) (*peerpb.ReportReply, error) {
-	return serve(ctx, s.h.Report, in)
+	return callHandler(ctx, s.h.Report, in)
 }
 
-func serve[Q, R any](ctx context.Context, f func(context.Context, Q) (R, error), in Q) (R, error) {
+// callHandler calls f, or returns an error if f is nil.
+func callHandler[Q, R any](ctx context.Context, f func(context.Context, Q) (R, error), in Q) (R, error) {
 	if f == nil {
-		var none R
-		return none, twirp.NewError(twirp.Unimplemented, "daemon has no handler for the call")
+		var zero R
+		return zero, twirp.NewError(twirp.Unimplemented, "daemon has no handler for the RPC")
 	}
 	return f(ctx, in)
 }
--- a/peer/label.go
+++ b/peer/label.go
@@ -5,7 +5,7 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-func labelOut(l shard.Label) *peerpb.Label {
+func labelToProto(l shard.Label) *peerpb.Label {
 	return &peerpb.Label{
 		Snapshot:  l.Snapshot(),
 		Map:       l.Map(),
@@ -16,7 +16,7 @@
 	}
 }
 
-func labelIn(m *peerpb.Label) shard.Label {
+func labelFromProto(m *peerpb.Label) shard.Label {
 	return shard.NewLabel(shard.LabelSpec{
 		Snapshot:  m.GetSnapshot(),
 		Map:       m.GetMap(),
--- a/peer/option.go
+++ b/peer/option.go
@@ -7,50 +7,51 @@
 )
 
 const (
-	// maxMessage bounds a request or reply in bytes. A catalogue has up to 1 MB
-	// in the store, and a relay reply has up to a few hundred hits per group.
-	maxMessage = 8 << 20
-	// maxConnections bounds the connections to one daemon.
+	// maxMessageBytes is the default size limit of a request or reply. A catalogue
+	// has up to 1 MB in the store, and a relay reply has up to a few hundred hits
+	// per group.
+	maxMessageBytes = 8 << 20
+	// maxConnections is the default limit of connections to one daemon.
 	maxConnections = 64
-	// maxIdle bounds the idle connections to one daemon.
-	maxIdle = 16
-	// maxRemotes bounds the table of daemons that the client has called.
+	// maxIdleConnections is the limit of idle connections to one daemon.
+	maxIdleConnections = 16
+	// maxRemotes is the number of daemons to which a client keeps connections.
 	maxRemotes = 1024
-	// idleTime closes connections to daemons that are no longer called.
-	idleTime = 90 * time.Second
-	// dialTime bounds the time of a new connection.
-	dialTime = time.Second
-	// keyHeader carries the shared key.
+	// idleTimeout is the time after which an idle connection is closed.
+	idleTimeout = 90 * time.Second
+	// dialTimeout bounds the time to establish a connection.
+	dialTimeout = time.Second
+	// keyHeader is the header that carries the shared key.
 	keyHeader = "X-Peer-Key"
 )
 
-// Option changes a Client or Server.
+// Option configures a Client or Server.
 type Option func(*config)
 
 type config struct {
-	clk         clock.Clock
-	key         string
-	maxMessage  int64
-	connections int
+	clock           clock.Clock
+	key             string
+	maxMessageBytes int64
+	maxConnections  int
 }
 
 func newConfig(opts []Option) config {
-	c := config{clk: clock.System{}, maxMessage: maxMessage, connections: maxConnections}
+	c := config{clock: clock.System{}, maxMessageBytes: maxMessageBytes, maxConnections: maxConnections}
 	for _, o := range opts {
 		o(&c)
 	}
 	return c
 }
 
-// WithClock sets the clock that deadlines are measured on.
-func WithClock(clk clock.Clock) Option { return func(c *config) { c.clk = clk } }
+// WithClock sets the clock that measures deadlines. The default is the system clock.
+func WithClock(clk clock.Clock) Option { return func(c *config) { c.clock = clk } }
 
-// WithKey sets the key that all daemons share. Without a key, calls carry none
-// and the server accepts every caller that reaches its listener.
+// WithKey sets the key that all daemons share. Without a key, a client sends none,
+// and a server accepts every call that reaches its listener.
 func WithKey(key string) Option { return func(c *config) { c.key = key } }
 
-// WithMaxMessage bounds a request or reply in bytes.
-func WithMaxMessage(n int64) Option { return func(c *config) { c.maxMessage = n } }
+// WithMaxMessage limits the size of a request or reply to n bytes.
+func WithMaxMessage(n int64) Option { return func(c *config) { c.maxMessageBytes = n } }
 
-// WithConnections bounds the connections to one daemon.
-func WithConnections(n int) Option { return func(c *config) { c.connections = n } }
+// WithConnections limits a client to n connections per daemon.
+func WithConnections(n int) Option { return func(c *config) { c.maxConnections = n } }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -20,14 +20,16 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-func serveHandlers(t *testing.T, h Handlers, opts ...Option) string {
+// startServer starts a server of h and returns its address.
+func startServer(t *testing.T, h Handlers, opts ...Option) string {
 	t.Helper()
 	s := httptest.NewServer(NewServer(h, opts...))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Guards against a value that is lost or mixed up on the way to a home.
+// Guards against a field of a request that is lost or swapped when it is encoded
+// and decoded.
 func TestRelayRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 5 * time.Hour
@@ -56,7 +58,8 @@
 	})
 }
 
-// Guards against an answer that loses its labels, or whose unknown fate reads as "not run".
+// Guards against a result that loses a field when it is encoded and decoded, and
+// against an unknown value of ran that is decoded as not run.
 func TestResultRoundTrip(t *testing.T) {
 	label := shard.NewLabel(shard.LabelSpec{Snapshot: 1, Map: "m", Low: 2, High: 3, Documents: 4, Total: 5})
 	want := []shard.Result{
@@ -80,7 +83,8 @@
 	}
 }
 
-// Guards against requests outside the bounds that reach a home.
+// Guards against requests that are invalid or exceed a limit and still reach a
+// home.
 func TestRequestBounds(t *testing.T) {
 	good := func() *peerpb.RelayRequest {
 		return &peerpb.RelayRequest{Class: "batch", RemainingUs: 1000, Items: []*peerpb.RelayItem{{Group: "g"}}}
@@ -96,8 +100,8 @@
 		"for ever": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.RemainingUs = 1 << 62 }},
 		"class":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Class = "x" }},
 		"limit":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Limit = maxHits + 1 }},
-		"name":     {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxName+1) }},
-		"group":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxName+1) }},
+		"name":     {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxNameBytes+1) }},
+		"group":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxNameBytes+1) }},
 		"items":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items = make([]*peerpb.RelayItem, maxItems+1) }},
 		"nil item": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0] = nil }},
 	} {
@@ -109,12 +113,13 @@
 	}
 }
 
-// Guards against callers without the key, other encodings and large bodies.
-func TestServerRefuses(t *testing.T) {
+// Guards against a server that accepts requests without the key, in another
+// encoding or of more than the maximum size.
+func TestServerRejectsInvalidRequests(t *testing.T) {
 	h := Handlers{Strike: func(context.Context, *peerpb.StrikeRequest) (*peerpb.StrikeReply, error) {
 		return &peerpb.StrikeReply{}, nil
 	}}
-	address := serveHandlers(t, h, WithKey("k"), WithMaxMessage(1000))
+	address := startServer(t, h, WithKey("k"), WithMaxMessage(1000))
 	for name, c := range map[string]struct {
 		key, encoding string
 		size, status  int
@@ -140,13 +145,13 @@
 	}
 }
 
-// Guards against a reply that fills the memory of the caller, an rpc without a
-// handler that crashes, and a fate that is reported wrongly.
+// Guards against a large reply that exhausts the client's memory, a panic in an RPC
+// without a handler, and an error that claims the wrong value of ran.
 func TestClientErrors(t *testing.T) {
 	large := func(context.Context, *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
 		return &peerpb.OutcomeReply{Body: make([]byte, 100_000)}, nil
 	}
-	address := serveHandlers(t, Handlers{Outcome: large}, WithKey("k"))
+	address := startServer(t, Handlers{Outcome: large}, WithKey("k"))
 	c := NewClient(WithMaxMessage(1000), WithKey("k"))
 	defer c.Close()
 	if _, err := c.Outcome(context.Background(), address, &peerpb.OutcomeRequest{}); err == nil || refusal.Of(err).Ran() != refusal.Unknown {
@@ -166,15 +171,15 @@
 	}
 }
 
-// Guards against a connection that went silent and is used again: after a call
-// that timed out on it, the next call makes a new connection.
+// Guards against reuse of an unresponsive connection. After a call timed out on it,
+// the next call must establish a new connection.
 func TestSilentConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	silent := make(chan net.Conn, 4)
-	go func() { // The first connection is accepted and never answered.
+	go func() { // Accepts the first connection and never answers on it.
 		conn, err := l.Accept()
 		if err != nil {
 			return
@@ -200,8 +205,9 @@
 	_ = (<-silent).Close()
 }
 
-// Guards against a table of daemons that grows as they are replaced.
-func TestRemotesAreBounded(t *testing.T) {
+// Guards against a client whose table of daemons grows without bound as daemons are
+// replaced by others.
+func TestRemotesBound(t *testing.T) {
 	c := NewClient()
 	for i := range 3 * maxRemotes {
 		c.remote(net.JoinHostPort("127.0.0.1", strings.Repeat("1", i%50)+string(rune('a'+i%26))+time.Duration(i).String()))
--- a/peer/remote.go
+++ b/peer/remote.go
@@ -12,31 +12,32 @@
 
 var errReplyTooLarge = errors.New("reply of the peer exceeds the size limit")
 
-// remote holds the connections to one daemon. Each has its own transport, so
-// that idle connections to one daemon can be closed without touching others.
+// remote is the connection pool to one daemon. Each remote has its own transport,
+// so that the client can close the idle connections to one daemon only.
 type remote struct {
 	cfg       config
 	transport *http.Transport
 	stub      peerpb.Peer
-	used      atomic.Int64 // Boot reading of the last call, for eviction.
+	lastUsed  atomic.Int64 // Time since boot of the last call, for eviction.
 }
 
 func newRemote(cfg config, address string) *remote {
 	r := &remote{cfg: cfg, transport: &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dialTime}).DialContext,
-		MaxConnsPerHost:     cfg.connections,
-		MaxIdleConnsPerHost: min(maxIdle, cfg.connections),
-		IdleConnTimeout:     idleTime,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxConnsPerHost:     cfg.maxConnections,
+		MaxIdleConnsPerHost: min(maxIdleConnections, cfg.maxConnections),
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}}
 	r.stub = peerpb.NewPeerProtobufClient("http://"+address, r)
 	return r
 }
 
-// Do sends one request with the shared key and bounds its reply.
+// Do sends a request with the shared key and limits the size of the reply. It
+// implements peerpb.HTTPClient.
 func (r *remote) Do(req *http.Request) (*http.Response, error) {
-	// The keeper of a cell receives two heartbeats a second from each member, so
-	// headers that the server does not read are left out: 110 of 440 bytes.
+	// Omits headers that the server does not read, which saves 110 of 440 bytes.
+	// The leader of a cell receives two heartbeats a second from each member.
 	req.Header["User-Agent"] = []string{""}
 	req.Header.Del("Accept")
 	req.Header.Del("Twirp-Version")
@@ -47,27 +48,28 @@
 	if err != nil {
 		return nil, err
 	}
-	res.Body = &boundedBody{ReadCloser: res.Body, left: r.cfg.maxMessage}
+	res.Body = &boundedBody{ReadCloser: res.Body, remaining: r.cfg.maxMessageBytes}
 	return res, nil
 }
 
 func (r *remote) closeIdle() { r.transport.CloseIdleConnections() }
 
+// boundedBody is a reply body whose Read fails beyond a number of remaining bytes.
 type boundedBody struct {
 	io.ReadCloser
-	left int64
+	remaining int64
 }
 
 func (b *boundedBody) Read(p []byte) (int, error) {
-	if b.left < 0 {
+	if b.remaining < 0 {
 		return 0, errReplyTooLarge
 	}
-	if int64(len(p)) > b.left+1 {
-		p = p[:b.left+1]
+	if int64(len(p)) > b.remaining+1 {
+		p = p[:b.remaining+1]
 	}
 	n, err := b.ReadCloser.Read(p)
-	b.left -= int64(n)
-	if b.left < 0 {
+	b.remaining -= int64(n)
+	if b.remaining < 0 {
 		return 0, errReplyTooLarge
 	}
 	return n, err
--- a/peer/request.go
+++ b/peer/request.go
@@ -10,14 +10,15 @@
 )
 
 const (
-	maxItems = 4096
-	maxName  = 512 // Bytes of an identifier, owner, service, shard or group.
-	maxHits  = 10000
+	maxItems     = 4096  // Maximum number of sub-requests or results in a message.
+	maxNameBytes = 512   // Limit for an identifier, owner, class, service, route, shard or group.
+	maxHits      = 10000 // Maximum number of hits in a result.
 )
 
-// RelayRequest returns the message that carries reqs, which belong to one query
-// and differ only in shard and group. The deadline travels as the time left at
-// now, a reading of clock.Clock.Boot, because VMs boot at different times.
+// RelayRequest returns the message for reqs, which belong to one query and differ
+// only in shard and group. now is a reading of clock.Clock.Boot. The message
+// contains the time from now to the deadline instead of the deadline, because VMs
+// boot at different times.
 func RelayRequest(reqs []shard.Request, now time.Duration, generation, epoch uint64) *peerpb.RelayRequest {
 	if len(reqs) == 0 {
 		return &peerpb.RelayRequest{Generation: generation, Epoch: epoch}
@@ -47,16 +48,18 @@
 	return out
 }
 
-// Requests returns the sub-requests of a message received at now. It refuses
-// messages that break a bound.
+// Requests returns the sub-requests in a message that was received at now, a
+// reading of clock.Clock.Boot. It returns a refusal of kind refusal.Malformed if
+// the message is invalid or exceeds a limit, and of kind refusal.Deadline if its
+// deadline has passed.
 func Requests(in *peerpb.RelayRequest, now time.Duration) ([]shard.Request, error) {
 	if err := checkRequest(in); err != nil {
 		return nil, err
 	}
 	reqs := make([]shard.Request, 0, len(in.Items))
 	for _, it := range in.Items {
-		if it == nil || len(it.Group) > maxName || len(it.Shard) > maxName {
-			return nil, refusal.New(refusal.Malformed, "relay item names more than %d bytes", maxName)
+		if it == nil || len(it.Group) > maxNameBytes || len(it.Shard) > maxNameBytes {
+			return nil, refusal.New(refusal.Malformed, "relay item is missing or has a group or shard of more than %d bytes", maxNameBytes)
 		}
 		reqs = append(reqs, shard.NewRequest(shard.RequestSpec{
 			ID:          in.Id,
@@ -82,21 +85,21 @@
 func checkRequest(in *peerpb.RelayRequest) error {
 	const maxRemaining = time.Hour
 	for _, s := range []string{in.Id, in.Owner, in.Class, in.Service, in.Route} {
-		if len(s) > maxName {
-			return refusal.New(refusal.Malformed, "relay request has a name of %d bytes", len(s))
+		if len(s) > maxNameBytes {
+			return refusal.New(refusal.Malformed, "relay request has a field of %d bytes, the limit is %d", len(s), maxNameBytes)
 		}
 	}
 	switch {
 	case len(in.Items) > maxItems:
-		return refusal.New(refusal.Malformed, "relay request has %d items", len(in.Items))
+		return refusal.New(refusal.Malformed, "relay request has %d items, the limit is %d", len(in.Items), maxItems)
 	case in.Limit > maxHits:
-		return refusal.New(refusal.Malformed, "relay request asks for %d hits", in.Limit)
+		return refusal.New(refusal.Malformed, "relay request asks for %d hits, the limit is %d", in.Limit, maxHits)
 	case !catalogue.Class(in.Class).Valid():
-		return refusal.New(refusal.Malformed, "relay request has class %q", in.Class)
+		return refusal.New(refusal.Malformed, "relay request has invalid class %q", in.Class)
 	case in.RemainingUs <= 0:
 		return refusal.New(refusal.Deadline, "relay request arrived after its deadline").WithRan(refusal.NotRun)
 	case in.RemainingUs > maxRemaining.Microseconds():
-		return refusal.New(refusal.Malformed, "relay request has a deadline of %d us", in.RemainingUs)
+		return refusal.New(refusal.Malformed, "relay request has %d us until its deadline, the limit is %v", in.RemainingUs, maxRemaining)
 	}
 	return nil
 }
--- a/peer/result.go
+++ b/peer/result.go
@@ -6,34 +6,36 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// maxHeld bounds the snapshot labels that one result lists.
-const maxHeld = 64
+// maxSnapshots is the maximum number of snapshot labels in one result.
+const maxSnapshots = 64
 
-// RelayReply returns the message that carries results.
+// RelayReply returns the message for results, with the sender's generation and
+// epoch. It lists at most 64 available snapshots per result.
 func RelayReply(results []shard.Result, generation, epoch uint64) *peerpb.RelayReply {
 	out := &peerpb.RelayReply{Generation: generation, Epoch: epoch, Results: make([]*peerpb.RelayResult, 0, len(results))}
 	for _, r := range results {
-		out.Results = append(out.Results, resultOut(r))
+		out.Results = append(out.Results, resultToProto(r))
 	}
 	return out
 }
 
-// Results returns the results of a message. It refuses messages that break a bound.
+// Results returns the results in a message. It returns a refusal of kind
+// refusal.BadReply if the message exceeds a limit.
 func Results(in *peerpb.RelayReply) ([]shard.Result, error) {
 	if len(in.Results) > maxItems {
-		return nil, refusal.New(refusal.BadReply, "relay reply has %d results", len(in.Results))
+		return nil, refusal.New(refusal.BadReply, "relay reply has %d results, the limit is %d", len(in.Results), maxItems)
 	}
 	results := make([]shard.Result, 0, len(in.Results))
 	for _, m := range in.Results {
-		if m == nil || len(m.Hits) > maxHits || len(m.Held) > maxHeld {
-			return nil, refusal.New(refusal.BadReply, "relay result has more than %d hits or %d labels", maxHits, maxHeld)
+		if m == nil || len(m.Hits) > maxHits || len(m.Held) > maxSnapshots {
+			return nil, refusal.New(refusal.BadReply, "relay result is missing or has more than %d hits or %d labels", maxHits, maxSnapshots)
 		}
-		results = append(results, resultIn(m))
+		results = append(results, resultFromProto(m))
 	}
 	return results, nil
 }
 
-func resultOut(r shard.Result) *peerpb.RelayResult {
+func resultToProto(r shard.Result) *peerpb.RelayResult {
 	out := &peerpb.RelayResult{
 		Kind:     string(r.Kind()),
 		Ran:      string(r.Ran()),
@@ -41,7 +43,7 @@
 		Group:    r.Group(),
 		Searcher: r.Searcher(),
 		Version:  r.Version(),
-		Label:    labelOut(r.Label()),
+		Label:    labelToProto(r.Label()),
 		Body:     r.Body(),
 		Attempts: uint32(max(0, r.Attempts())),
 		Crashed:  r.Crashed(),
@@ -50,22 +52,22 @@
 	for _, h := range r.Hits() {
 		out.Hits = append(out.Hits, &peerpb.Hit{Id: h.ID(), Score: h.Score(), Data: h.Data()})
 	}
-	held := r.AvailableSnapshots()
-	for _, l := range held[:min(len(held), maxHeld)] {
-		out.Held = append(out.Held, labelOut(l))
+	snapshots := r.AvailableSnapshots()
+	for _, l := range snapshots[:min(len(snapshots), maxSnapshots)] {
+		out.Held = append(out.Held, labelToProto(l))
 	}
 	return out
 }
 
-func resultIn(m *peerpb.RelayResult) shard.Result {
+func resultFromProto(m *peerpb.RelayResult) shard.Result {
 	spec := shard.ResultSpec{
 		Kind:     refusal.Kind(m.Kind),
-		Ran:      ranIn(m.Ran),
+		Ran:      ranFromProto(m.Ran),
 		Shard:    m.Shard,
 		Group:    m.Group,
 		Searcher: m.Searcher,
 		Version:  m.Version,
-		Label:    labelIn(m.Label),
+		Label:    labelFromProto(m.Label),
 		Body:     m.Body,
 		Attempts: int(m.Attempts),
 		Crashed:  m.Crashed,
@@ -75,14 +77,14 @@
 		spec.Hits = append(spec.Hits, shard.NewHit(shard.HitSpec{ID: h.GetId(), Score: h.GetScore(), Data: h.GetData()}))
 	}
 	for _, l := range m.Held {
-		spec.AvailableSnapshots = append(spec.AvailableSnapshots, labelIn(l))
+		spec.AvailableSnapshots = append(spec.AvailableSnapshots, labelFromProto(l))
 	}
 	return shard.NewResult(spec)
 }
 
-// ranIn treats a value that this version does not know as unknown, because
-// "not run" must be proved.
-func ranIn(s string) refusal.Ran {
+// ranFromProto maps values that this version does not know to refusal.Unknown,
+// because refusal.NotRun requires proof.
+func ranFromProto(s string) refusal.Ran {
 	switch r := refusal.Ran(s); r {
 	case refusal.NotRun, refusal.DidRun:
 		return r
