--- a/clock/clock.go
+++ b/clock/clock.go
@@ -6,22 +6,23 @@
 type Clock interface {
 	// Now returns the wall time.
 	Now() time.Time
-	// Boot returns the time since the VM started. It never goes back and it
-	// counts the time for which the VM was paused, so leases and deadlines
-	// use it.
+	// Boot returns the time since the VM booted. It is monotonic and includes
+	// the time for which the VM was suspended, so leases and deadlines use it.
 	Boot() time.Duration
 	// AfterFunc runs f in its own goroutine after d.
 	AfterFunc(d time.Duration, f func()) Timer
-	// NewTimer sends once on the timer's channel after d.
+	// NewTimer returns a timer that sends the time on its channel after d.
 	NewTimer(d time.Duration) Timer
 }
 
-// Timer is one pending event of a Clock.
+// Timer is a pending event of a Clock. See [time.Timer].
 type Timer interface {
-	// C is the channel of a timer made by NewTimer, nil otherwise.
+	// C returns the channel of a timer created by NewTimer. It returns nil for a
+	// timer created by AfterFunc.
 	C() <-chan time.Time
-	// Stop reports whether it prevented the event.
+	// Stop cancels the timer. It reports whether it prevented the event.
 	Stop() bool
-	// Reset changes the timer to fire after d.
+	// Reset changes the timer to fire after d. It reports whether the timer was
+	// pending.
 	Reset(d time.Duration) bool
 }
--- a/clock/clocktest/doc.go
+++ b/clock/clocktest/doc.go
@@ -1,2 +1,3 @@
-// Package clocktest provides a clock that tests move by hand.
+// Package clocktest provides [Manual], a clock.Clock that tests advance
+// explicitly.
 package clocktest
--- a/clock/clocktest/manual.go
+++ b/clock/clocktest/manual.go
@@ -7,12 +7,13 @@
 	"medlaryard.example/medlaryard/clock"
 )
 
-// Manual is a clock.Clock that stands still until Advance is called.
+// Manual is a clock.Clock whose time changes only when Advance is called. It is
+// safe for concurrent use.
 type Manual struct {
-	mu     sync.Mutex
-	now    time.Time
-	boot   time.Duration
-	timers map[*timer]struct{}
+	mu      sync.Mutex
+	now     time.Time
+	boot    time.Duration
+	pending map[*timer]struct{}
 }
 
 var _ clock.Clock = (*Manual)(nil)
@@ -20,9 +21,9 @@
 // New returns a Manual clock at a fixed wall time, one hour after boot.
 func New() *Manual {
 	return &Manual{
-		now:    time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
-		boot:   time.Hour,
-		timers: make(map[*timer]struct{}),
+		now:     time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
+		boot:    time.Hour,
+		pending: make(map[*timer]struct{}),
 	}
 }
 
@@ -40,30 +41,32 @@
 	return m.boot
 }
 
-// AfterFunc runs f in its own goroutine once Advance has passed d.
+// AfterFunc runs f in its own goroutine once Advance has moved the clock by d.
 func (m *Manual) AfterFunc(d time.Duration, f func()) clock.Timer {
-	return m.start(d, &timer{m: m, f: f})
+	return m.startTimer(d, &timer{clock: m, f: f})
 }
 
-// NewTimer sends once on the timer's channel once Advance has passed d.
+// NewTimer returns a timer that sends the time on its channel once Advance has
+// moved the clock by d.
 func (m *Manual) NewTimer(d time.Duration) clock.Timer {
-	return m.start(d, &timer{m: m, c: make(chan time.Time, 1)})
+	return m.startTimer(d, &timer{clock: m, ch: make(chan time.Time, 1)})
 }
 
-// Advance moves the clock by d and fires due timers in order of their times.
+// Advance moves the clock by d and fires the due timers in the order of their
+// deadlines.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	end := m.boot + d
 	for {
-		t := m.nextLocked(end)
+		t := m.nextTimerLocked(end)
 		if t == nil {
 			break
 		}
-		m.moveLocked(t.at)
-		delete(m.timers, t)
+		m.advanceLocked(t.deadline)
+		delete(m.pending, t)
 		t.fireLocked()
 	}
-	m.moveLocked(end)
+	m.advanceLocked(end)
 	m.mu.Unlock()
 }
 
@@ -71,30 +74,33 @@
 func (m *Manual) Waiters() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.timers)
+	return len(m.pending)
 }
 
-func (m *Manual) start(d time.Duration, t *timer) clock.Timer {
+func (m *Manual) startTimer(d time.Duration, t *timer) clock.Timer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t.armLocked(d)
 	return t
 }
 
-func (m *Manual) nextLocked(end time.Duration) *timer {
+// nextTimerLocked returns the pending timer with the earliest deadline up to end, or
+// nil.
+func (m *Manual) nextTimerLocked(end time.Duration) *timer {
 	var first *timer
-	for t := range m.timers {
-		if t.at <= end && (first == nil || t.at < first.at) {
+	for t := range m.pending {
+		if t.deadline <= end && (first == nil || t.deadline < first.deadline) {
 			first = t
 		}
 	}
 	return first
 }
 
-func (m *Manual) moveLocked(at time.Duration) {
-	if at <= m.boot {
+// advanceLocked moves the clock forward to the given time since boot.
+func (m *Manual) advanceLocked(boot time.Duration) {
+	if boot <= m.boot {
 		return
 	}
-	m.now = m.now.Add(at - m.boot)
-	m.boot = at
+	m.now = m.now.Add(boot - m.boot)
+	m.boot = boot
 }
--- a/clock/clocktest/timer.go
+++ b/clock/clocktest/timer.go
@@ -3,38 +3,39 @@
 import "time"
 
 type timer struct {
-	m  *Manual
-	at time.Duration
-	c  chan time.Time
-	f  func()
+	clock    *Manual
+	deadline time.Duration
+	ch       chan time.Time
+	f        func()
 }
 
-func (t *timer) C() <-chan time.Time { return t.c }
+func (t *timer) C() <-chan time.Time { return t.ch }
 
 func (t *timer) Stop() bool {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	_, pending := t.m.timers[t]
-	delete(t.m.timers, t)
+	t.clock.mu.Lock()
+	defer t.clock.mu.Unlock()
+	_, pending := t.clock.pending[t]
+	delete(t.clock.pending, t)
 	return pending
 }
 
 func (t *timer) Reset(d time.Duration) bool {
-	t.m.mu.Lock()
-	defer t.m.mu.Unlock()
-	_, pending := t.m.timers[t]
+	t.clock.mu.Lock()
+	defer t.clock.mu.Unlock()
+	_, pending := t.clock.pending[t]
 	t.armLocked(d)
 	return pending
 }
 
+// armLocked schedules the timer to fire after d, or fires it at once if d <= 0.
 func (t *timer) armLocked(d time.Duration) {
-	t.at = t.m.boot + d
+	t.deadline = t.clock.boot + d
 	if d <= 0 {
-		delete(t.m.timers, t)
+		delete(t.clock.pending, t)
 		t.fireLocked()
 		return
 	}
-	t.m.timers[t] = struct{}{}
+	t.clock.pending[t] = struct{}{}
 }
 
 func (t *timer) fireLocked() {
@@ -43,7 +44,7 @@
 		return
 	}
 	select {
-	case t.c <- t.m.now:
+	case t.ch <- t.clock.now:
 	default:
 	}
 }
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sleep waits for d on c and returns early with the error of ctx when it ends.
+// Sleep waits for d, measured on c. If ctx ends first, it returns the error of
+// ctx.
 func Sleep(ctx context.Context, c Clock, d time.Duration) error {
 	t := c.NewTimer(d)
 	defer t.Stop()
