--- a/standin/soak/caller.go
+++ b/standin/soak/caller.go
@@ -19,14 +19,14 @@
 
 // outcome is the result of one request as the caller sees it.
 type outcome struct {
-	id       string
-	once     bool // The request must not run more than once.
-	ip       string
-	start    time.Time
-	end      time.Time
-	status   int // 0 if the caller received no complete response.
-	err      string
-	mismatch string // How a successful response differs from the expected one.
+	id            string
+	nonIdempotent bool // The request must not run more than once.
+	ip            string
+	start         time.Time
+	end           time.Time
+	status        int // 0 if the caller received no complete response.
+	err           string
+	mismatch      string // How a successful response differs from the expected one.
 }
 
 // caller sends requests sequentially and reuses its connections.
@@ -49,7 +49,7 @@
 	}
 }
 
-// run sends requests until ctx ends. About one in three must not run twice.
+// run sends requests until ctx ends. About one in three is non-idempotent.
 func (c *caller) run(ctx context.Context, name string) {
 	for n := 0; ctx.Err() == nil; n++ {
 		ip := c.pickAddress()
@@ -108,12 +108,12 @@
 const requestTimeout = 2 * time.Second
 
 // send sends one request to a daemon and checks its response.
-func (c *caller) send(address, id string, once bool) outcome {
+func (c *caller) send(address, id string, nonIdempotent bool) outcome {
 	ip, _, _ := strings.Cut(address, ":")
-	o := outcome{id: id, once: once, ip: ip, start: time.Now()}
+	o := outcome{id: id, nonIdempotent: nonIdempotent, ip: ip, start: time.Now()}
 	method, path := http.MethodGet, "/match/"+id
 	var body io.Reader
-	if once {
+	if nonIdempotent {
 		method, path, body = http.MethodPost, "/play/"+id, strings.NewReader("song "+id)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout+time.Second)
@@ -134,7 +134,7 @@
 		if b, err = io.ReadAll(resp.Body); err == nil {
 			o.status = resp.StatusCode
 			if resp.StatusCode/100 == 2 {
-				o.mismatch = c.soak.checkResponse(id, path, once, resp.Header, b)
+				o.mismatch = c.soak.checkResponse(id, path, nonIdempotent, resp.Header, b)
 			}
 		}
 	}
@@ -147,8 +147,8 @@
 
 // checkResponse describes how a successful response differs from the expected one.
 // It returns "" if the response is correct.
-func (s *Soak) checkResponse(id, path string, once bool, h http.Header, body []byte) string {
-	if once {
+func (s *Soak) checkResponse(id, path string, nonIdempotent bool, h http.Header, body []byte) string {
+	if nonIdempotent {
 		stamp := h.Get(platform.HeaderStamp)
 		target, requestID, _ := strings.Cut(stamp, ".")
 		if requestID != id || !bytes.Equal(body, shards.Records(target, path)) {
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -314,7 +314,7 @@
 	if o.mismatch != "" {
 		violations = append(violations, prefix+" "+o.mismatch)
 	}
-	if o.once && runs > 1 {
+	if o.nonIdempotent && runs > 1 {
 		violations = append(violations, fmt.Sprintf("%s ran %d times", prefix, runs))
 	}
 	if (o.status == 503 || o.status == 429) && runs > 0 {
