--- a/node/daemon.go
+++ b/node/daemon.go
@@ -93,8 +93,8 @@
 	leaving     atomic.Bool
 	started     chan struct{} // Closed when the configuration and the targets are known.
 	startOnce   sync.Once
-	changed     chan struct{}
-	fetches     chan string
+	changed     chan struct{} // Signals that the mirror changed.
+	fetches     chan string   // Peer addresses to fetch changes from.
 
 	mu           sync.Mutex
 	targetCache  *targetCache
--- a/node/daemon_test.go
+++ b/node/daemon_test.go
@@ -54,7 +54,7 @@
 
 // Guards against missing metrics: operators must see the version and age of the
 // configuration, the age of the store's last answer and unreachable services.
-func TestMetricsReportDaemonState(t *testing.T) {
+func TestDaemonMetrics(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.send(c.daemons[0].ip, "GET", "/match/m", "m", "")
 	resp, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", c.daemons[0].ip, operatorsPort))
@@ -80,12 +80,12 @@
 // Guards against a daemon that keeps an older configuration because another
 // daemon watches for it, the watch delivers nothing, or the store dropped its
 // history.
-func TestConfigurationReachesAllDaemons(t *testing.T) {
+func TestConfigurationDistribution(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault func(s *metastore.Store)
 	}{
-		{"sound", func(*metastore.Store) {}},
+		{"healthy store", func(*metastore.Store) {}},
 		{"stalled watches", func(s *metastore.Store) { s.Inject(metastore.StalledWatches()) }},
 		{"dropped history", func(s *metastore.Store) { s.Compact() }},
 		{"after an outage", func(s *metastore.Store) {
@@ -155,7 +155,7 @@
 
 // Guards against requests to targets in an evacuated failure domain, and
 // against targets that stay unused after the evacuation ends.
-func TestDrainingAndEvacuation(t *testing.T) {
+func TestEvacuation(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	d := c.daemons[0]
 	c.store.Put("evacuations", "a", map[string]any{})
@@ -175,26 +175,26 @@
 // Guards against a target that gets no requests while its expired entry is
 // missing for a short time, and against a target that is used after its entry
 // has been removed for good.
-func TestVanishedEntriesLinger(t *testing.T) {
-	r := newTargetCache(nopLogger())
+func TestTargetCacheMissingEntries(t *testing.T) {
+	cache := newTargetCache(nopLogger())
 	now := time.Unix(1000, 0)
 	ts := decodeTargets(t, "i-1")
-	r.update(ts, now)
-	r.update(nil, now.Add(time.Second))
+	cache.update(ts, now)
+	cache.update(nil, now.Add(time.Second))
 	for _, c := range []struct {
 		after time.Duration
 		want  int
 	}{{0, 1}, {missingTargetTTL - time.Millisecond, 1}, {missingTargetTTL, 0}} {
-		entries, _ := r.entries(now.Add(time.Second+c.after), nil)
+		entries, _ := cache.entries(now.Add(time.Second+c.after), nil)
 		if got := len(entries["s"]); got != c.want {
 			t.Errorf("%v after it disappeared: %d entries, want %d", c.after, got, c.want)
 		}
 	}
-	r.update(ts, now.Add(10*time.Second))
-	if entries, _ := r.entries(now.Add(10*time.Second), nil); len(entries["s"]) != 1 {
+	cache.update(ts, now.Add(10*time.Second))
+	if entries, _ := cache.entries(now.Add(10*time.Second), nil); len(entries["s"]) != 1 {
 		t.Error("an entry that reappeared is not used")
 	}
-	if entries, _ := r.entries(now.Add(10*time.Second), map[string]bool{"a": true}); len(entries["s"]) != 0 {
+	if entries, _ := cache.entries(now.Add(10*time.Second), map[string]bool{"a": true}); len(entries["s"]) != 0 {
 		t.Error("an entry of an evacuated failure domain is used")
 	}
 }
--- a/node/endpoint.go
+++ b/node/endpoint.go
@@ -9,7 +9,7 @@
 const (
 	stateServing servingState = iota // Selected to serve callers.
 	stateStandby                     // Able to serve, but not selected.
-	stateSilent                      // Able to serve at its last heartbeat, but silent since.
+	stateSilent                      // Silent since a heartbeat in which it was able to serve; also this daemon if it cannot serve.
 )
 
 // callerEndpoint is a daemon whose address may be given to callers.
@@ -21,8 +21,8 @@
 
 // selectAddresses returns the addresses of the best endpoints for a caller in
 // region. Live daemons of the region precede live daemons of other regions, and
-// serving daemons precede standby daemons. Silent daemons come last, since only
-// this daemon may be cut off from them.
+// serving daemons precede standby daemons. Silent daemons come last. They remain
+// in use because callers may reach them even if this daemon does not.
 func selectAddresses(endpoints []callerEndpoint, region string) []string {
 	rank := func(e callerEndpoint) int {
 		r := int(e.state)
--- a/node/endpoint_test.go
+++ b/node/endpoint_test.go
@@ -8,7 +8,7 @@
 
 // Guards against callers that are sent to another region although daemons of
 // their own region respond, and against callers that get no address.
-func TestCallersAreSentToTheirRegion(t *testing.T) {
+func TestSelectAddresses(t *testing.T) {
 	near := callerEndpoint{"near", "r1", stateServing}
 	spare := callerEndpoint{"spare", "r1", stateStandby}
 	lost := callerEndpoint{"lost", "r1", stateSilent}
--- a/node/listen.go
+++ b/node/listen.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// operatorsHandler serves the metrics. It calls updateGauges before each
-// rendering.
+// operatorsHandler returns a handler that serves the metrics. It calls
+// updateGauges on each scrape.
 func operatorsHandler(updateGauges func()) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
--- a/node/moves_test.go
+++ b/node/moves_test.go
@@ -11,7 +11,7 @@
 
 // Guards against moves whose state is never published, a good version that is
 // rolled back and a bad version that completes, with two daemons end to end.
-func TestMovesEnd(t *testing.T) {
+func TestMoveOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		b    shards.Behaviour
--- a/node/serving.go
+++ b/node/serving.go
@@ -120,8 +120,8 @@
 	return names
 }
 
-// standbyHeartbeatRounds is the number of heartbeat rounds per heartbeat to
-// standby daemons.
+// standbyHeartbeatRounds is the period, in rounds, of the heartbeats to standby
+// daemons. Serving daemons get a heartbeat in each round.
 const standbyHeartbeatRounds = 2
 
 // heartbeatRecipients returns the peer addresses to which the heartbeat of a
--- a/node/settings.go
+++ b/node/settings.go
@@ -143,8 +143,8 @@
 // and UDP.
 func (s Settings) PeerAddress() string { return s.file.Listen.Peers }
 
-// Peers returns the operators' addresses of the daemons to contact at the
-// start.
+// Peers returns the addresses of the daemons to contact at the start, each with
+// the port of the listener for metrics.
 func (s Settings) Peers() []string { return s.file.Peers }
 
 // Capacity returns the capacity of the VM in CPU cores, or 0 if it is unknown.
@@ -188,7 +188,7 @@
 }
 
 // ColdSlack returns the number of requests allowed to a cold target in addition
-// to that load.
+// to the load of ColdOvershoot.
 func (s Settings) ColdSlack() float64 { return s.file.Cold.Slack }
 
 // LogLevel returns the minimum severity of logged messages, or "" for the
