--- a/fleet/candidate.go
+++ b/fleet/candidate.go
@@ -46,8 +46,9 @@
 )
 
 // Select returns the daemons that serve callers, in order of precedence. It
-// selects the strong VMs of each failure domain, at least two of them, and
-// skips lost daemons. All daemons compute the same result from the same
+// skips lost daemons. In each failure domain it selects all daemons on strong
+// VMs, or the two strongest daemons if fewer are strong. It selects at most
+// maxServing daemons. All daemons compute the same result from the same
 // registry. Daemons that are not selected are on standby and put almost no load
 // on the targets and the other daemons.
 func Select(all []Candidate, lost func(name string) bool) []Candidate {
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -59,5 +59,6 @@
 // if there are none.
 func (m Member) Reports() *mirrorpb.TargetReports { return m.reports }
 
-// Strikes returns the requests known to the daemon as having crashed targets.
+// Strikes returns the requests of which the daemon knows that they crashed
+// targets.
 func (m Member) Strikes() []*peerpb.CrashStrike { return m.strikes }
