--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -29,8 +29,8 @@
 	// pingInterval is the time between pings, which confirm that a watching daemon
 	// reaches the store.
 	pingInterval = 600 * time.Millisecond
-	// standbyPingPeriod is the number of ping intervals per ping of a standby
-	// daemon while the store does not answer.
+	// standbyPingPeriod is the period, in ping intervals, of a standby daemon's
+	// pings while the store does not answer.
 	standbyPingPeriod = 4
 	// minRetryDelay and maxRetryDelay limit the exponential delay after failed
 	// calls.
@@ -129,10 +129,10 @@
 func (f *Follower) follow(ctx context.Context, k Kind) {
 	delay, timeout := minRetryDelay, callTimeout
 	var listedAt time.Duration
-	current := false
+	current := false // Whether a watch can continue from the mirror's cursor.
 	for ctx.Err() == nil {
-		// While the store does not answer, only pings and the first list of the kind
-		// that is read first call it.
+		// While the store does not answer, only pings and the first list of a kind
+		// marked with ReadFirst are sent to it.
 		known := f.mirror.Known(k.name)
 		if known && !f.shouldWatch() || !f.connected.Load() && (known || !k.readFirst) {
 			current = false
@@ -211,8 +211,8 @@
 	}
 }
 
-// errKnownFromPeer ends a first list because a peer supplied the objects
-// earlier.
+// errKnownFromPeer ends a first list because a peer supplied the objects before
+// the store answered.
 var errKnownFromPeer = errors.New("a peer has supplied the objects")
 
 func (f *Follower) list(ctx context.Context, kind string, timeout time.Duration) error {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -22,7 +22,7 @@
 
 // Guards against a copy that reverts to an older state: a list from before a
 // change arrives after it because the store returned stale data.
-func TestOlderListIsIgnored(t *testing.T) {
+func TestReplaceOlderList(t *testing.T) {
 	m := New(func(string) {}, "k")
 	m.Replace("k", []Object{object("a", 5, "new")}, 10)
 	m.Apply("k", []Event{NewEvent(object("a", 12, "newest"), false)}, 12)
@@ -46,7 +46,7 @@
 
 // Guards against peers whose objects differ from those of the watching daemon,
 // depending on what they missed and in which order they fetch.
-func TestNeighboursConverge(t *testing.T) {
+func TestPeersConverge(t *testing.T) {
 	for seed := range int64(30) {
 		rng := rand.New(rand.NewSource(seed))
 		source := New(func(string) {}, "k")
