--- a/home/apply.go
+++ b/home/apply.go
@@ -19,18 +19,18 @@
 	}
 	listed := make(map[string]bool)
 	for _, spec := range a.Estate().Services() {
-		v := s.services[spec.Name()]
-		if v == nil {
-			v = newService(spec)
+		svc := s.services[spec.Name()]
+		if svc == nil {
+			svc = newService(spec)
 			for move, share := range s.moveShares[spec.Name()] {
-				v.setShare(move, share)
+				svc.setShare(move, share)
 			}
-			s.services[spec.Name()] = v
+			s.services[spec.Name()] = svc
 		}
-		v.update(spec)
+		svc.update(spec)
 		for _, g := range spec.Groups() {
 			listed[g.ID()] = true
-			s.applyGroup(a, g, v)
+			s.applyGroup(a, g, svc)
 		}
 	}
 	for id, g := range s.groups {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (s *Set) applyGroup(a Assignment, spec catalogue.Group, v *service) {
+func (s *Set) applyGroup(a Assignment, spec catalogue.Group, svc *service) {
 	share := a.Share(spec.ID())
 	g := s.groups[spec.ID()]
 	if share == lease.None {
@@ -57,7 +57,7 @@
 		return
 	}
 	if g == nil || g.isClosed() {
-		g = newGroup(s, spec, v)
+		g = newGroup(s, spec, svc)
 		s.groups[spec.ID()] = g
 	}
 	g.reconcile(a.Estate(), spec, share)
--- a/home/attemptend.go
+++ b/home/attemptend.go
@@ -30,8 +30,8 @@
 }
 
 // returnTokens refunds the token of an attempt that was never written. The
-// token of a resend that replaces a silent attempt stays with the task until it
-// is sent or ends.
+// token for the resend that replaces a silent attempt stays with the task; it is
+// refunded if the task has ended.
 func (g *group) returnTokens(a *attempt, f *searcher.Failure) {
 	if a.usesToken && f != nil && isUnwritten(f) {
 		g.service.budget.refund()
--- a/home/cold_test.go
+++ b/home/cold_test.go
@@ -10,6 +10,8 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
+// newTwoReplicas returns a fixture with one group of two searchers; prepare sets
+// their faults before the first health reply.
 func newTwoReplicas(seed uint64, prepare func(fx *fixture)) *fixture {
 	fx := newFixture(fixtureSpec{seed: seed, shards: 1, replicas: 2, slots: 4, daemons: 1, policy: catalogue.Current})
 	prepare(fx)
@@ -104,7 +106,7 @@
 			fx.clk.run(20 * time.Millisecond)
 		}
 		if f := fx.fakes["s00-0"]; f.ran > 0 || sent < 150 {
-			t.Errorf("share %s: cold searcher ran %d, %d of 200 were answered", share, f.ran, sent)
+			t.Errorf("share %s: cold searcher ran %d requests, %d of 200 were answered", share, f.ran, sent)
 		}
 	}
 }
--- a/home/dispatch.go
+++ b/home/dispatch.go
@@ -127,7 +127,7 @@
 		g.service.budget.refund()
 	}
 	if len(t.running) == 0 {
-		g.refuse(t, refusal.New(refusal.NotHome, "lease of the home has expired"))
+		g.refuse(t, refusal.New(refusal.NotHome, "lease of the home of group %s has expired", g.id))
 	}
 }
 
@@ -159,9 +159,9 @@
 	defer g.mu.Unlock()
 	switch {
 	case a.task.done:
-		return refusal.New(refusal.Cancelled, "request already has a result")
+		return refusal.New(refusal.Cancelled, "request %s already has a result", a.task.req.ID())
 	case !g.maySend() || g.leaseExpired(g.set.clock.Boot()):
-		return refusal.New(refusal.NotHome, "lease of the home has expired")
+		return refusal.New(refusal.NotHome, "lease of the home of group %s has expired", g.id)
 	case !a.member.usable():
 		return refusal.New(refusal.NoSearcher, "searcher %s accepts no new work", a.member.spec.Name())
 	}
--- a/home/errors_test.go
+++ b/home/errors_test.go
@@ -10,15 +10,17 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
+// newErrorFixture returns a fixture whose searchers have served a load and then
+// fail a fraction of their requests: errors[j] for replica j of each shard.
 func newErrorFixture(seed uint64, errors ...float64) *fixture {
 	fx := newFixture(fixtureSpec{seed: seed, shards: 4, replicas: 2, slots: 2, daemons: 1, policy: catalogue.Current})
 	fx.clk.run(time.Second)
 	fx.load(0.3, 10*time.Second)
 	fx.latency, fx.kinds = nil, make(map[refusal.Kind]int)
 	for _, f := range fx.fakes {
-		for j, part := range errors {
+		for j, fraction := range errors {
 			if f.spec.Name()[4:] == string(rune('0'+j)) {
-				f.errors = part
+				f.errors = fraction
 			}
 		}
 	}
@@ -40,6 +42,7 @@
 		if full < 0.98 || p95 > 100*time.Millisecond {
 			t.Errorf("seed %d: full coverage %.3f, p95 %v", seed, full, p95)
 		}
+		// Replica 0 failed before; the last digit of a name is the replica.
 		failing, healthy := 0, 0
 		for _, f := range fx.fakes {
 			f.errors = 0
@@ -62,14 +65,14 @@
 func TestRetryWithoutToken(t *testing.T) {
 	fx := newErrorFixture(1, 0.5, 0.5)
 	var slowest time.Duration
-	early := 0
+	refused := 0
 	for range 400 {
 		start := fx.clk.now
 		fx.send(0, shard.RequestSpec{ID: "q", Idempotent: true}, func(r shard.Result) {
 			if r.Kind() == refusal.None {
 				return
 			}
-			early++
+			refused++
 			slowest = max(slowest, fx.clk.now-start)
 			if r.Kind() != refusal.SearcherFailed || r.Ran() != refusal.Unknown {
 				t.Errorf("refused as %s, ran %s", r.Kind(), r.Ran())
@@ -77,8 +80,8 @@
 		})
 		fx.clk.run(50 * time.Millisecond)
 	}
-	if early == 0 || slowest > 500*time.Millisecond {
-		t.Errorf("%d refusals, the last after %v of 1s", early, slowest)
+	if refused == 0 || slowest > 500*time.Millisecond {
+		t.Errorf("%d refusals, the slowest after %v of a deadline of 1s", refused, slowest)
 	}
 }
 
--- a/home/estimate.go
+++ b/home/estimate.go
@@ -54,8 +54,8 @@
 const abandonedFactor = 3
 
 // observeAbandoned adds an attempt that was abandoned after elapsed. Such an
-// attempt never lowers the estimate; one that ran longer than the median
-// restarts its decay.
+// attempt never lowers the estimate. If it ran longer than the median, it
+// refreshes the time of the value, so that the next sample has less weight.
 func (e *latencyEstimate) observeAbandoned(now time.Duration, elapsed, median float64) {
 	v := e.current(now, median)
 	if sample := abandonedFactor * elapsed; sample > v {
--- a/home/fixture_test.go
+++ b/home/fixture_test.go
@@ -206,8 +206,8 @@
 
 func (fx *fixture) budgetTotals() (subs, extra int64) {
 	for _, s := range fx.sets {
-		for _, v := range s.serviceList() {
-			a, b := v.budget.totals()
+		for _, svc := range s.serviceList() {
+			a, b := svc.budget.totals()
 			subs, extra = subs+a, extra+b
 		}
 	}
--- a/home/group.go
+++ b/home/group.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// replyMargin is the time reserved for the way of a result back to the
+	// replyMargin is the time reserved for the return of a result to the
 	// entry: the home replies this long before the request's deadline.
 	replyMargin = 2 * time.Millisecond
 	// queuePerSlot is the bound of each class's queue per slot of the group.
@@ -89,10 +89,10 @@
 		return refusal.New(refusal.NotHome, "daemon has share %s of group %s", g.share, g.id)
 	}
 	if g.leaseExpired(now) {
-		return refusal.New(refusal.NotHome, "lease of the home has expired")
+		return refusal.New(refusal.NotHome, "lease of the home of group %s has expired", g.id)
 	}
 	if t.deadline <= now {
-		return refusal.New(refusal.Deadline, "deadline has passed").WithRan(refusal.NotRun)
+		return refusal.New(refusal.Deadline, "deadline had passed when the request reached the home of group %s", g.id).WithRan(refusal.NotRun)
 	}
 	g.lastRequest = now
 	g.enablePolling()
@@ -100,7 +100,7 @@
 		return e
 	}
 	if wait := g.expectedWait(now); now+wait > t.deadline {
-		return refusal.New(refusal.Overloaded, "expected wait %v exceeds the remaining time", wait)
+		return refusal.New(refusal.Overloaded, "expected wait %v in group %s exceeds the remaining time", wait, g.id)
 	}
 	if !g.queue.push(t, g.queueBound()) {
 		return g.queueFullError(t)
@@ -141,7 +141,7 @@
 	if t.done {
 		return
 	}
-	g.refuse(t, refusal.New(refusal.Deadline, "no reply within the deadline"))
+	g.refuse(t, refusal.New(refusal.Deadline, "no reply from group %s within the deadline", g.id))
 }
 
 // cancel ends a task whose caller no longer waits for the result.
--- a/home/group_test.go
+++ b/home/group_test.go
@@ -106,7 +106,7 @@
 	// The searcher drops the snapshot after the last health reply.
 	fx.fakes["s00-1"].snapshots = []uint64{2}
 	if r := fx.sendAndWait(shard.RequestSpec{Idempotent: true, Snapshot: 3}); r.Kind() != refusal.SnapshotGone {
-		t.Errorf("got %s", r.Kind())
+		t.Errorf("got %s for a snapshot that the searcher dropped", r.Kind())
 	}
 }
 
@@ -213,7 +213,7 @@
 	for limit := range 200 {
 		sum := connections(lease.Full, limit) + connections(lease.Reserved, limit) + connections(lease.Acting, limit)
 		if sum > limit || connections(lease.Reserved, limit) > limit/5 {
-			t.Errorf("cap %d: shares add up to %d", limit, sum)
+			t.Errorf("limit %d: connections of all shares add up to %d", limit, sum)
 		}
 	}
 }
--- a/home/hedge.go
+++ b/home/hedge.go
@@ -35,8 +35,9 @@
 // the group's median at which a hedge to the searcher is likely to win.
 const maxHedgeLatencyRatio = 2
 
-// A hedge older than veryLateFactor times the hedge delay may go before waiting
-// tasks and may use the reserve of the budget.
+// veryLateFactor multiplies the hedge delay. Once a task's attempt has run for
+// that time, its hedge may go before waiting tasks and use the reserve of the
+// budget.
 const veryLateFactor = 2
 
 // dispatchHedge sends the hedge to another warm searcher with free capacity.
--- a/home/member.go
+++ b/home/member.go
@@ -29,7 +29,7 @@
 	reportedVersion string // Version that the searcher reports; empty before the first health reply.
 	inService       bool
 	draining        bool
-	drainUntil      time.Duration // A health reply of ready ends the drain only after this time.
+	drainUntil      time.Duration // A health reply that reports no drain ends the drain only after this time.
 	down            bool
 	removed         bool
 	failures        int // Consecutive failed health requests.
--- a/home/observe.go
+++ b/home/observe.go
@@ -38,10 +38,10 @@
 
 // referenceLatency returns the latency that a searcher is compared with. normal
 // is the mean latency of the fastest other searcher that is not known to be
-// cold; without one it is the service's median, or 0 when that is unknown.
-// recent is the current estimate of that other searcher where it is higher
-// than normal, because then the cause of a slow reply is not the searcher. peer
-// reports whether the reference is another searcher.
+// cold. recent is the higher of normal and the current estimate of that other
+// searcher: if both searchers are slow, the cause is not the searcher itself.
+// peer reports whether such a searcher exists; if not, normal and recent are the
+// service's median, or 0 when that is unknown.
 func (g *group) referenceLatency(m *member, now time.Duration) (normal, recent time.Duration, peer bool) {
 	var best *member
 	for _, o := range g.members {
--- a/home/result.go
+++ b/home/result.go
@@ -21,7 +21,8 @@
 	if !invariant.Check(resultLabel, t.req.Snapshot() == 0 || r.Label().Snapshot() == t.req.Snapshot(),
 		"reply to request %s is from snapshot %d, requested %d", t.req.ID(), r.Label().Snapshot(), t.req.Snapshot()) {
 		t.ran = refusal.DidRun
-		g.refuse(t, refusal.New(refusal.BadReply, "searcher replied from snapshot %d, which was not requested", r.Label().Snapshot()))
+		g.refuse(t, refusal.New(refusal.BadReply, "searcher %s replied from snapshot %d, requested %d",
+			a.member.spec.Name(), r.Label().Snapshot(), t.req.Snapshot()))
 		return
 	}
 	hits := r.Hits()
--- a/home/selection.go
+++ b/home/selection.go
@@ -9,11 +9,11 @@
 
 // loadWeight is the weight of a searcher's load in its cost, relative to the
 // expected completion time. It separates equal searchers that both have a free
-// slot, and lets a slower searcher take requests from a queue before all
-// waiting requests are as late as they would be there. With one searcher of a
-// pair ten times slower, weights of 1, 1.5 and 2.5 give a p99 of 76, 79 and 81
-// ms at 40% load, and of 59, 55 and 56 ms at 30% load with the healthy searcher
-// farther away.
+// slot, and lets a slower searcher receive a queued request before the wait for
+// a faster one is as long as its own service time. With one searcher of a pair
+// ten times slower, a weight of 1 raises the p99 at 30% load from 55 to 59 ms
+// when the healthy searcher is farther away; 2.5 raises it at 40% load from 79
+// to 81 ms.
 const loadWeight = 1.5
 
 // freeCapacity returns how many more requests the searcher may receive now.
--- a/home/set.go
+++ b/home/set.go
@@ -78,13 +78,13 @@
 func (s *Set) start(req shard.Request, reply func(shard.Result)) (*group, *task) {
 	g := s.group(req.Group())
 	if g == nil {
-		reply(notHome(req))
+		reply(notHomeResult(req))
 		return nil, nil
 	}
 	return g, g.start(req, reply)
 }
 
-func notHome(req shard.Request) shard.Result {
+func notHomeResult(req shard.Request) shard.Result {
 	return shard.NewResult(shard.ResultSpec{
 		Kind: refusal.NotHome, Ran: refusal.NotRun, Shard: req.Shard(), Group: req.Group(),
 		Detail: "daemon is not home of group " + req.Group(),
@@ -107,8 +107,8 @@
 // and route since the Set was created.
 func (s *Set) Evidence() []Evidence {
 	var all []Evidence
-	for _, v := range s.serviceList() {
-		all = append(all, v.evidence.list(v.name)...)
+	for _, svc := range s.serviceList() {
+		all = append(all, svc.evidence.list(svc.name)...)
 	}
 	return all
 }
@@ -122,14 +122,14 @@
 		s.moveShares[service] = make(map[string]float64)
 	}
 	s.moveShares[service][move] = share
-	v := s.services[service]
+	svc := s.services[service]
 	s.mu.Unlock()
-	if v == nil {
+	if svc == nil {
 		return
 	}
-	v.setShare(move, share)
+	svc.setShare(move, share)
 	for _, g := range s.groupList() {
-		if g.service == v {
+		if g.service == svc {
 			g.updateCredits()
 		}
 	}
@@ -168,8 +168,8 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	list := make([]*service, 0, len(s.services))
-	for _, v := range s.services {
-		list = append(list, v)
+	for _, svc := range s.services {
+		list = append(list, svc)
 	}
 	slices.SortFunc(list, func(a, b *service) int { return strings.Compare(a.name, b.name) })
 	return list
@@ -180,6 +180,6 @@
 func (s *Set) jitter(d time.Duration) time.Duration {
 	s.randomMu.Lock()
 	defer s.randomMu.Unlock()
-	const fraction = 10
-	return d - d/fraction + time.Duration(s.random.Int64N(int64(2*d/fraction)))
+	const divisor = 10
+	return d - d/divisor + time.Duration(s.random.Int64N(int64(2*d/divisor)))
 }
--- a/home/status.go
+++ b/home/status.go
@@ -14,7 +14,7 @@
 
 // State is one of out, draining, down, unknown, cold, new and warm. out: its
 // failure domain is out of service; unknown: no health reply yet; new: neither
-// known to be cold nor warm yet.
+// warm nor known to be cold.
 func (s SearcherStatus) State() string { return s.state }
 
 // Version is the version that the searcher reports; empty before its first
--- a/home/tail_test.go
+++ b/home/tail_test.go
@@ -90,9 +90,7 @@
 
 // Guards against one slow searcher that determines the response time of every
 // query. The bounds are the targets of the load policy. The home is in the
-// failure domain of s03-1. With the race detector only the first case runs,
-// because the simulation would take minutes and its goroutines share no data;
-// "go test -run Tail ./home" runs all.
+// failure domain of s03-1.
 func TestTailWithSlowSearcher(t *testing.T) {
 	cases := []struct {
 		load, bound  float64
@@ -105,6 +103,8 @@
 		{0.4, 2, "s03-0", 4, 30 * time.Second},
 	}
 	if raceEnabled {
+		// All cases would take minutes, and the goroutines of the simulation
+		// share no data; "go test -run Tail ./home" runs all.
 		cases = cases[:1]
 	}
 	for _, c := range cases {
--- a/home/warmup.go
+++ b/home/warmup.go
@@ -10,10 +10,12 @@
 	// initialRampWindow is the number of consecutive replies after which the
 	// limit of a cold searcher may double.
 	initialRampWindow = 16
-	// maxRampWindow bounds the window, which doubles after each relapse.
+	// maxRampWindow bounds the window, which doubles after each further cold
+	// start.
 	maxRampWindow = 1024
-	// slowLatencyFactor is the ratio to the latency of the other searchers
-	// above which a reply counts as slow and the warm searcher may be cold.
+	// slowLatencyFactor is the ratio of a reply's latency to that of the other
+	// searchers above which the reply counts as slow, so that the searcher may
+	// be cold.
 	slowLatencyFactor = 2
 	// maxRampLatencyFactor is the highest ratio of a window's mean latency to
 	// the reference at which the limit grows. A mean of initialRampWindow
@@ -47,8 +49,8 @@
 	// times a second on a busy machine.
 	minSlowSpan = 250 * time.Millisecond
 	// noPeerFactor multiplies coldScore and minSlowSpan when no other searcher
-	// of the group is warm, because then only the service's median is left as
-	// the reference.
+	// of the group can be the reference, because then only the service's median
+	// is left.
 	noPeerFactor = 3
 	// relapseWindow is the time after which an earlier cold start no longer
 	// lengthens the ramp window.
@@ -66,7 +68,7 @@
 	coldLimit       int
 	rampLimit       int // Limit of requests in flight while cold.
 	warm            bool
-	knownCold       bool          // Cold by its health reply, a refusal or its latency; false if only new to this home.
+	knownCold       bool          // Cold by a health reply, a refusal, its latency or an imported estimate; false if only new to this home.
 	successes       int           // Replies in the ramp window.
 	windowLatency   time.Duration // Sum of latencies in the ramp window.
 	slowScore       float64       // Evidence of a cold start while warm, in slow replies.
@@ -88,8 +90,8 @@
 	return warmup{coldLimit: limit, rampLimit: limit, rampWindow: initialRampWindow}
 }
 
-// markCold starts a cold start: it resets the limit to the cold limit. A
-// relapse within relapseWindow doubles the ramp window.
+// markCold records a cold start and resets the limit to the cold limit. A
+// second cold start within relapseWindow doubles the ramp window.
 func (w *warmup) markCold(now time.Duration) {
 	switch {
 	case w.lastCold != 0 && now-w.lastCold > relapseWindow:
@@ -158,7 +160,7 @@
 
 // detectColdStart records the latency of a reply or of an abandoned attempt of
 // a warm searcher, and marks the searcher as cold when it is consistently slow.
-// peer reports whether the reference is another warm searcher of the group.
+// peer reports whether the reference is another searcher of the group.
 func (w *warmup) detectColdStart(now, took, reference time.Duration, peer bool) {
 	if !w.warm || reference <= 0 {
 		return
