--- a/admission/doc.go
+++ b/admission/doc.go
@@ -8,20 +8,21 @@
 // # Bound on crashes
 //
 // Equal requests have the same fingerprint. A strike is the record of a crash
-// under a fingerprint. Each daemon keeps a table of strikes and sends new ones
-// to the other daemons of its cell, without delaying the reply to the caller.
-// The number of crashes under one fingerprint within strikeTTL is bounded as
-// follows.
+// under a fingerprint. A request whose fingerprint has crashed searchers once is
+// a suspect and runs without hedges and retries. Each daemon keeps a table of
+// strikes and sends new ones to the other daemons of its cell, without delaying
+// the reply to the caller. The number of crashes under one fingerprint within
+// strikeTTL is bounded as follows.
 //
 //   - Sequential resends: a caller that resends after each reply, and only after
 //     the strike has arrived, crashes searchers in two rounds, whichever daemons it
 //     sends to. The first round is the first fan-out, which may crash one searcher
 //     of each shard. The second round is one run as a suspect, which reaches the
 //     other shards only after one has survived it.
-//   - Lost strikes: the homes of one daemon run a fingerprint unmarked until its
-//     first crash there, and as a suspect until the second one, even if no strike
-//     arrives. So each daemon that receives no strikes from the others adds two
-//     rounds.
+//   - Lost strikes: the homes of one daemon run a fingerprint without the mark
+//     of a suspect until its first crash there, and as a suspect until the second
+//     one, even if no strike arrives. So each daemon that receives no strikes from
+//     the others adds two rounds.
 //   - Concurrent requests: requests that are in flight at the first crash, or that
 //     reach a daemon before the strike does, count as the first round. Their number
 //     is not bounded here: callers that send the same request at the same time
--- a/admission/entrylimit.go
+++ b/admission/entrylimit.go
@@ -8,8 +8,9 @@
 	"medlaryard.example/medlaryard/catalogue"
 )
 
-// burstDuration is the time whose requests an entry may admit at once. Callers
-// keep the address of an entry for 5 s, so their requests arrive unevenly.
+// burstDuration sets the burst of a rate limit: the requests that the rate
+// allows in this time may arrive at once. Callers keep the address of an entry
+// for 5 s, so their requests arrive unevenly.
 const burstDuration = time.Second
 
 // entryLimit is one entry's part of one catalogue limit.
--- a/admission/limiter.go
+++ b/admission/limiter.go
@@ -69,7 +69,8 @@
 			for _, a := range admitted {
 				a.rollback(now)
 			}
-			return nil, refusal.New(refusal.RateLimited, "%s of the %s exceeded at this entry", reason, c.scope)
+			return nil, refusal.New(refusal.RateLimited, "%s of the %s exceeded at this entry: owner %q, class %q, service %q",
+				reason, c.scope, owner, class, s.Name())
 		}
 		admitted = append(admitted, limit)
 	}
--- a/admission/suspects.go
+++ b/admission/suspects.go
@@ -37,7 +37,7 @@
 
 type strike struct {
 	crashes uint32
-	at      time.Duration // Boot time of the latest crash.
+	at      time.Duration // Boot time of the latest crash, or of a later Clear.
 }
 
 // NewSuspects returns an empty table. It passes new strikes to broadcast, which
@@ -70,7 +70,8 @@
 	}
 }
 
-// SinceLastCrash returns the time since the latest crash of a fingerprint.
+// SinceLastCrash returns the time since the latest crash of a fingerprint, or
+// since a later Clear.
 func (s *Suspects) SinceLastCrash(fingerprint uint64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,8 +96,9 @@
 	}
 }
 
-// update records a crash count that is higher than the current one. It reports
-// whether it changed the table.
+// update records a crash count that is higher than the current one, unless the
+// fingerprint was cleared after that crash. It reports whether it changed the
+// table.
 func (s *Suspects) update(fingerprint uint64, crashes uint32, age time.Duration) bool {
 	if age >= strikeTTL {
 		return false
