--- a/catalogue/diff/change.go
+++ b/catalogue/diff/change.go
@@ -33,7 +33,8 @@
 // Name is the name of the entry, or "first to last" if Count is more than 1.
 func (c Change) Name() string { return c.name }
 
-// Count is the number of entries that Change stands for; all changed in the same way.
+// Count is the number of entries that the Change covers. All of them changed in the same
+// way.
 func (c Change) Count() int { return c.count }
 
 // Fields are the changed values, or all values of an added or removed entry.
--- a/catalogue/evaluate/bench_test.go
+++ b/catalogue/evaluate/bench_test.go
@@ -8,8 +8,8 @@
 	"medlaryard.example/medlaryard/catalogue/evaluate"
 )
 
-// BenchmarkText measures the check of a whole catalogue. Every daemon does one for
-// each of the 5,600 changes per day. The planned size is 65,000 searchers.
+// BenchmarkText measures the check of a whole catalogue. Every daemon runs this check
+// for each of the 5,600 changes per day. The planned size is 65,000 searchers.
 func BenchmarkText(b *testing.B) {
 	for _, searchers := range []int{200, 2_000, 20_000, 65_000} {
 		text := estateText(searchers)
--- a/catalogue/evaluate/bounds.go
+++ b/catalogue/evaluate/bounds.go
@@ -33,8 +33,8 @@
 	classType       = syntax.OneOf(catalogue.Interactive, catalogue.Batch)
 	policyType      = syntax.OneOf(catalogue.Baseline, catalogue.Current)
 	slotsType       = syntax.IntBetween(1, 1024, "requests")
-	// A fifth of the connections is reserved, and half of the reserved ones are for
-	// an acting home. With fewer than 10 connections, that would be none.
+	// A fifth of the connections is reserved, and half of that fifth is for an acting
+	// home. With fewer than 10 connections, the half rounds down to 0.
 	connectionsType = syntax.IntBetween(10, 100_000, "connections")
 	coldLimitType   = syntax.IntBetween(1, 1024, "requests in flight")
 	countType       = syntax.IntBetween(1, 10_000, "shards")
--- a/catalogue/evaluate/compact.go
+++ b/catalogue/evaluate/compact.go
@@ -38,7 +38,7 @@
 	m := syntax.ReadMapping(n, e.problems)
 	defer m.Close()
 	entry := e.unnamedEntry(m, service)
-	v := e.searcherValues(m, defaults)
+	v := e.readSearcherValues(m, defaults)
 	e.checkSearcherValues(m, v)
 	list := m.Require("addresses", "a list of searcher addresses")
 	if list == nil {
--- a/catalogue/evaluate/examples_test.go
+++ b/catalogue/evaluate/examples_test.go
@@ -52,7 +52,7 @@
 				}
 			}
 			if len(s.Shards()) != tt.shards || n != tt.searchers || s.NonIdempotent() != tt.nonIdempotent {
-				t.Errorf("%d shards, %d searchers, non-idempotent %v", len(s.Shards()), n, s.NonIdempotent())
+				t.Errorf("%d shards, %d searchers, non-idempotent %v, want %d, %d, %v", len(s.Shards()), n, s.NonIdempotent(), tt.shards, tt.searchers, tt.nonIdempotent)
 			}
 		})
 	}
--- a/catalogue/evaluate/fuzz_test.go
+++ b/catalogue/evaluate/fuzz_test.go
@@ -37,7 +37,7 @@
 					checkEntry(t, e, r.Entry)
 					_, known := e.Domain(r.Domain())
 					if addresses[r.Address()] || !known || r.Slots() > r.Connections() || r.ColdLimit() < 1 || r.ColdLimit() > r.Slots() {
-						t.Errorf("searcher %s was accepted", r.Name())
+						t.Errorf("searcher %s was accepted with address %s, domain %s, %d slots, %d connections, cold limit %d", r.Name(), r.Address(), r.Domain(), r.Slots(), r.Connections(), r.ColdLimit())
 					}
 					addresses[r.Address()] = true
 					versions[r.Version()] = true
--- a/catalogue/evaluate/page_test.go
+++ b/catalogue/evaluate/page_test.go
@@ -21,7 +21,7 @@
 	}
 	blocks := regexp.MustCompile("(?ms)^```yaml( faulty)?\n(.*?)^```\n(?:\n```text\n(.*?)^```)?").FindAllStringSubmatch(string(text), -1)
 	if len(blocks) < 4 {
-		t.Fatalf("found %d examples", len(blocks))
+		t.Fatalf("found %d examples in %s, want at least 4", len(blocks), referencePage)
 	}
 	for i, b := range blocks {
 		_, err := Text("songs.yaml", []byte(b[2]), 1)
@@ -66,10 +66,10 @@
 		{"min_evidence", DefaultMinEvidence, evidenceType.Expected()},
 	} {
 		if want := fmt.Sprintf("| `%s` | %v | %s |", row.key, row.fallback, row.accepted); !strings.Contains(string(text), want) {
-			t.Errorf("the page has no row %s", want)
+			t.Errorf("%s has no row %s", referencePage, want)
 		}
 	}
 	if !strings.HasPrefix(deadlineType.Expected(), "a duration from 1ms to 50s") || !strings.Contains(string(text), countType.Expected()) {
-		t.Errorf("the page differs from %q or %q", deadlineType.Expected(), countType.Expected())
+		t.Errorf("%s does not match max_deadline, %q, or the number of shards, %q", referencePage, deadlineType.Expected(), countType.Expected())
 	}
 }
--- a/catalogue/evaluate/searcher.go
+++ b/catalogue/evaluate/searcher.go
@@ -18,9 +18,9 @@
 	ColdLimit   int
 }
 
-// searcherValues reads the keys of searcherValues. Absent keys default to the values of
-// the enclosing entry.
-func (e *evaluator) searcherValues(m *syntax.Mapping, enclosing searcherValues) searcherValues {
+// readSearcherValues returns the searcher values that m sets. Absent keys default to the
+// values of the enclosing entry.
+func (e *evaluator) readSearcherValues(m *syntax.Mapping, enclosing searcherValues) searcherValues {
 	v := enclosing
 	if n := m.Get("domain"); n != nil {
 		v.Domain = invalidValue
@@ -67,8 +67,8 @@
 	if v.Slots == 0 || v.Connections == 0 {
 		return
 	}
-	// An established home leaves a fifth of the connections unused, reserved for a new
-	// home.
+	// An established home uses at most four fifths of the connections. The other fifth
+	// is reserved for a new home.
 	if usable := v.Connections * 4 / 5; usable < v.Slots {
 		e.problems.AddAt(m.Node(), fmt.Sprintf("connections of which four fifths cover the %d slots", v.Slots), fmt.Sprintf("%d connections", v.Connections))
 	}
@@ -82,7 +82,7 @@
 	defer m.Close()
 	entry := e.entry(m, shard)
 	searcherNames.declare(entry.Name, m.Get("name"))
-	v := e.searcherValues(m, defaults)
+	v := e.readSearcherValues(m, defaults)
 	e.checkSearcherValues(m, v)
 	address := syntax.Required(m, "address", syntax.Address)
 	e.addresses.declare(address, m.Get("address"))
--- a/catalogue/evaluate/service.go
+++ b/catalogue/evaluate/service.go
@@ -38,7 +38,7 @@
 	}
 	d := syntax.ReadMapping(n, e.problems)
 	defer d.Close()
-	return e.searcherValues(d, searcherValues{ColdLimit: DefaultColdLimit})
+	return e.readSearcherValues(d, searcherValues{ColdLimit: DefaultColdLimit})
 }
 
 func (e *evaluator) shards(m *syntax.Mapping, service catalogue.EntrySpec, defaults searcherValues) []*catalogue.Shard {
@@ -66,7 +66,7 @@
 		m := syntax.ReadMapping(item, e.problems)
 		spec := catalogue.ShardSpec{EntrySpec: e.entry(m, service)}
 		shardNames.declare(spec.Name, m.Get("name"))
-		shardDefaults := e.searcherValues(m, defaults)
+		shardDefaults := e.readSearcherValues(m, defaults)
 		for _, s := range m.List("searchers") {
 			spec.Searchers = append(spec.Searchers, e.searcher(s, spec.EntrySpec, shardDefaults, &searcherNames))
 		}
--- a/catalogue/policy.go
+++ b/catalogue/policy.go
@@ -5,7 +5,8 @@
 
 // The load policies that a service can select.
 const (
-	// Baseline sends to the searcher with the shortest queue, without hedges.
+	// Baseline sends to the searcher with the shortest queue, in turn if several queues
+	// are equally short, and without hedges.
 	Baseline Policy = "baseline"
 	// Current sends to the searcher with the shortest expected completion time and
 	// hedges within a budget.
--- a/catalogue/publish/publisher.go
+++ b/catalogue/publish/publisher.go
@@ -17,9 +17,10 @@
 )
 
 const (
-	// maxObjectBytes is the size of the largest object that the store accepts.
+	// maxObjectBytes is the maximum size of the encoded catalogue object. It stays below
+	// store.MaxValueBytes.
 	maxObjectBytes = 1_000_000
-	// maxAuthorBytes bounds the author; daemons reject objects with a longer one.
+	// maxAuthorBytes bounds the author's name; daemons reject an object with a longer one.
 	maxAuthorBytes = 256
 )
 
@@ -75,9 +76,9 @@
 // Apply checks text and writes it as the successor of generation baseGeneration.
 // It returns the catalogue that is then in force. If text equals the text in
 // force, Apply writes nothing. The error is a *syntax.Problems for a faulty text,
-// a *ConflictError if another change is in force than the one at baseGeneration,
-// or an *OutcomeUnknownError if the outcome of the write is unknown. With any
-// other error, nothing was written.
+// a *ConflictError if the generation in force is not baseGeneration, or an
+// *OutcomeUnknownError if the outcome of the write is unknown. With any other
+// error, nothing was written.
 func (p *Publisher) Apply(ctx context.Context, text []byte, author string, baseGeneration uint64) (Current, error) {
 	if _, err := evaluate.Text("catalogue", text, baseGeneration+1); err != nil {
 		return Current{}, err
@@ -107,7 +108,7 @@
 		return Current{}, err
 	}
 	if len(value) > maxObjectBytes {
-		return Current{}, eris.Errorf("object %s would have %d bytes; the store accepts at most %d", Key, len(value), maxObjectBytes)
+		return Current{}, eris.Errorf("object %s would have %d bytes; the limit is %d", Key, len(value), maxObjectBytes)
 	}
 	return p.write(ctx, next, value, version)
 }
--- a/catalogue/publish/publisher_test.go
+++ b/catalogue/publish/publisher_test.go
@@ -83,33 +83,33 @@
 		outcomes := rapid.SampledFrom([]string{"", "", "", "before", "after", "other"})
 		s := &fakeStore{}
 		s.fail = func(call string) string {
-			f := outcomes.Draw(t, call)
-			if call == "get" && f == "other" {
+			outcome := outcomes.Draw(t, call)
+			if call == "get" && outcome == "other" {
 				return ""
 			}
-			return f
+			return outcome
 		}
 		for i := range rapid.IntRange(1, 8).Draw(t, "changes") {
 			token := fmt.Sprintf("token-%d.", i)
 			p := publish.New(s, publish.WithClock(clocktest.New()), publish.WithInitialBackoff(0),
 				publish.WithToken(func() string { return token }))
-			based := uint64(rapid.IntRange(0, len(s.tokens)).Draw(t, "based"))
-			got, err := p.Apply(context.Background(), catalogueText(i), "operator", based)
+			base := uint64(rapid.IntRange(0, len(s.tokens)).Draw(t, "based"))
+			got, err := p.Apply(context.Background(), catalogueText(i), "operator", base)
 			written := strings.Count(strings.Join(s.tokens, " "), token)
-			var race *publish.ConflictError
+			var conflict *publish.ConflictError
 			var unknown *publish.OutcomeUnknownError
 			switch {
 			case err == nil:
-				if written != 1 || got.Generation() != based+1 || got.Token() != token {
-					t.Fatalf("success with %d writes, generation %d after %d", written, got.Generation(), based)
+				if written != 1 || got.Generation() != base+1 || got.Token() != token {
+					t.Fatalf("Apply succeeded with %d writes, generation %d in force, based on %d", written, got.Generation(), base)
 				}
-			case errors.As(err, &race):
-				if written != 0 || race.Current().Generation() == based {
-					t.Fatalf("race with %d writes, generation %d in force, based on %d", written, race.Current().Generation(), based)
+			case errors.As(err, &conflict):
+				if written != 0 || conflict.Current().Generation() == base {
+					t.Fatalf("conflict with %d writes, generation %d in force, based on %d", written, conflict.Current().Generation(), base)
 				}
 			case errors.As(err, &unknown):
 				if unknown.Token() != token || written > 1 {
-					t.Fatalf("unknown with %d writes", written)
+					t.Fatalf("unknown outcome of token %q with %d writes of %q", unknown.Token(), written, token)
 				}
 			case errors.Is(err, store.ErrUnavailable):
 				if written != 0 {
@@ -139,10 +139,10 @@
 		}
 		return ""
 	}
-	now, err := p.Apply(context.Background(), catalogueText(2), "Baraka", 1)
-	var race *publish.ConflictError
-	if !errors.As(err, &race) || now.Generation() != 2 || !strings.Contains(err.Error(), `"other" has applied generation 2`) {
-		t.Fatalf("got generation %d, error %v", now.Generation(), err)
+	current, err := p.Apply(context.Background(), catalogueText(2), "Baraka", 1)
+	var conflict *publish.ConflictError
+	if !errors.As(err, &conflict) || current.Generation() != 2 || !strings.Contains(err.Error(), `"other" has applied generation 2`) {
+		t.Fatalf("got generation %d, error %v", current.Generation(), err)
 	}
 }
 
--- a/catalogue/syntax/convert.go
+++ b/catalogue/syntax/convert.go
@@ -12,7 +12,8 @@
 	problems *Problems
 }
 
-// node converts one value. A value without a token gets the position fallback.
+// node converts one value. The parameter fallback is the position of a value without a
+// token.
 func (c converter) node(n ast.Node, path string, fallback Position) *Node {
 	out := &Node{path: path, position: c.position(n, fallback)}
 	switch v := n.(type) {
--- a/catalogue/syntax/nullcounter.go
+++ b/catalogue/syntax/nullcounter.go
@@ -3,8 +3,8 @@
 import "github.com/goccy/go-yaml/token"
 
 // maxNulls bounds the number of empty values, because the parser's time grows with
-// its square. Every empty value is a fault, but up to this bound it is reported with
-// its path after parsing.
+// the square of that number. Up to this bound, each empty value is reported as a fault
+// with its path after parsing.
 const maxNulls = 1000
 
 // nullCounter counts empty values in the token sequence, before the text is parsed.
--- a/catalogue/syntax/parse.go
+++ b/catalogue/syntax/parse.go
@@ -12,7 +12,7 @@
 )
 
 // MaxTextBytes is the maximum length of a text. The store holds objects of up to 1 MB;
-// the rest is for the JSON escaping of the text.
+// the difference leaves room for the JSON escaping of the text.
 const MaxTextBytes = 900_000
 
 // Parse returns one Node for each YAML document in text that is not empty. The
@@ -76,6 +76,7 @@
 	if tk := fault.GetToken(); tk != nil && tk.Position != nil {
 		at = NewPosition(name, tk.Position.Line, tk.Position.Column)
 	}
-	// The running time of fault.Error grows with the square of the length of the text.
+	// GetMessage avoids fault.Error, whose running time grows with the square of the
+	// length of the text.
 	return NewProblem(at, "", "valid YAML", fault.GetMessage())
 }
--- a/catalogue/syntax/tokens.go
+++ b/catalogue/syntax/tokens.go
@@ -14,6 +14,7 @@
 // recurses into them.
 func checkTokens(name string, tokens token.Tokens, ps *Problems) bool {
 	ok := true
+	// Each block indicator on a line may open a nested collection.
 	flowDepth, lineIndicators, line := 0, 0, 0
 	var keys keyCounter
 	var nulls nullCounter
