--- a/store/http.go
+++ b/store/http.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// defaultTimeout is much longer than the store's usual response time of some
+	// defaultTimeout is much longer than the store's usual response time of a few
 	// milliseconds, and shorter than the leases of 3 to 5 s that depend on the store.
 	defaultTimeout = time.Second
 	// defaultWatchWait is below the usual idle timeouts of TCP connections, so that a
@@ -89,8 +89,8 @@
 	for {
 		// The store counts each poll of a watch against its rate limits.
 		meter.Count("store.watch.polls", 1)
-		poll, cancel := context.WithTimeout(ctx, h.watchWait+h.timeout)
-		o, err := h.object(poll, http.MethodGet, h.objectURL(key)+"?"+q.Encode(), nil)
+		pollCtx, cancel := context.WithTimeout(ctx, h.watchWait+h.timeout)
+		o, err := h.object(pollCtx, http.MethodGet, h.objectURL(key)+"?"+q.Encode(), nil)
 		cancel()
 		if ctx.Err() != nil && err != nil {
 			return Object{}, fmt.Errorf("watch of %q: %w", key, ctx.Err())
--- a/store/wire.go
+++ b/store/wire.go
@@ -1,7 +1,7 @@
 package store
 
-// MaxValueBytes is the maximum size of a value, 1 MB, which the platform's store
-// enforces.
+// MaxValueBytes is the maximum size of a value, 1 MiB. The platform's store rejects
+// larger ones.
 const MaxValueBytes = 1 << 20
 
 // maxListBytes is the maximum size of a List reply. It prevents a faulty store from
