--- a/vmlist/list_test.go
+++ b/vmlist/list_test.go
@@ -7,8 +7,8 @@
 	"medlaryard.example/medlaryard/vmlist"
 )
 
-// Guards against reporting a VM as removed on the evidence of an old list or of a
-// list that was never read.
+// Guards against reporting a VM as removed when the list is old or no list has been
+// read.
 func TestListed(t *testing.T) {
 	list := vmlist.NewList([]vmlist.VM{
 		vmlist.NewVM("vm-1", "10.0.0.1", "a", false), vmlist.NewVM("vm-2", "10.0.0.2", "a", true),
@@ -29,7 +29,7 @@
 	} {
 		listed, known := test.list.Listed(test.vm, test.now, 3*time.Second)
 		if listed != test.listed || known != test.known {
-			t.Errorf("%s: listed %v, known %v", test.name, listed, known)
+			t.Errorf("%s: listed %v, known %v, want %v, %v", test.name, listed, known, test.listed, test.known)
 		}
 	}
 }
