--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -18,12 +18,12 @@
 	first := f.members[0]
 	want, err := query(first.callers, "la")
 	if err != nil || len(want.Hits) != 3 {
-		t.Fatalf("%+v, %v", want, err)
+		t.Fatalf("query to %s: %+v, %v; want 3 hits", first.callers, want, err)
 	}
 	for _, m := range f.members {
 		got, err := query(m.callers, "la")
 		if err != nil || len(got.Hits) != 3 || got.Hits[0] != want.Hits[0] || got.Hits[2] != want.Hits[2] {
-			t.Errorf("%+v, %v; want %+v", got, err, want)
+			t.Errorf("query to %s: %+v, %v; want %+v", m.callers, got, err, want)
 		}
 	}
 	f.checkRunsOnce()
@@ -33,11 +33,11 @@
 		t.Fatalf("status %d: %v", code, err)
 	}
 	if status.Daemon.State != stateServing || len(status.Services) != 2 || len(status.Services[0].Groups) != 4 {
-		t.Errorf("status %s", text)
+		t.Errorf("got status %s, want state %s, 2 services and 4 groups of the first", text, stateServing)
 	}
 	for _, g := range status.Services[0].Groups {
 		if g.Home == "" || (g.Share == "full") != (g.Home == "vm-0") {
-			t.Errorf("group %+v", g)
+			t.Errorf("group %+v: want a home, and share full only if the home is vm-0", g)
 		}
 	}
 	_, text = get(t, "http://"+first.operators+"/metrics")
@@ -55,7 +55,7 @@
 	f.t.Helper()
 	list, err := call(http.MethodGet, "http://"+f.members[0].callers+"/v1/addresses", nil)
 	if err != nil || len(list.Addresses) != 3 {
-		f.t.Fatalf("%+v, %v", list, err)
+		f.t.Fatalf("addresses: %+v, %v; want 3", list, err)
 	}
 	body := map[string]any{
 		"id": "play-1", "owner": "desk", "class": "interactive", "service": "queue", "route": "add", "deadline_ms": 1500,
--- a/daemon/fixture_test.go
+++ b/daemon/fixture_test.go
@@ -31,13 +31,13 @@
 
 // fixture runs a store, searchers and daemons in one process on loopback addresses.
 type fixture struct {
-	t          *testing.T
-	store      *objects.Store
-	address    string // Of the store.
-	fleet      *searchers.Fleet
-	catalogue  string // The first catalogue.
-	members    []*member
-	changeSpec func(*settings.Spec) // Changes the settings of daemons before their start; may be nil.
+	t            *testing.T
+	store        *objects.Store
+	storeAddress string
+	fleet        *searchers.Fleet
+	catalogue    string // The first catalogue.
+	members      []*member
+	changeSpec   func(*settings.Spec) // Changes the settings of daemons before their start; may be nil.
 }
 
 // member is one running daemon.
@@ -51,7 +51,7 @@
 	f := &fixture{t: t, store: objects.New()}
 	server := httptest.NewServer(objects.NewHandler(f.store))
 	t.Cleanup(server.Close)
-	f.address = strings.TrimPrefix(server.URL, "http://")
+	f.storeAddress = strings.TrimPrefix(server.URL, "http://")
 	text := catalogueText(freeAddresses(t, 11))
 	f.catalogue = text
 	estate, err := evaluate.Text("test", []byte(text), 1)
@@ -132,7 +132,7 @@
 	spec.Name, spec.Region, spec.Domain = fmt.Sprint("vm-", i), "local", domain
 	spec.CallerListen, spec.CallerAdvertise = free[0], free[0]
 	spec.PeerListen, spec.PeerAdvertise = free[1], free[1]
-	spec.OperatorListen, spec.StoreAddress = free[2], f.address
+	spec.OperatorListen, spec.StoreAddress = free[2], f.storeAddress
 	spec.AddressTTL = 300 * time.Millisecond
 	if f.changeSpec != nil {
 		f.changeSpec(&spec)
--- a/daemon/fleet.go
+++ b/daemon/fleet.go
@@ -60,7 +60,8 @@
 	return list
 }
 
-// suspectState returns whether requests with fingerprint crashed searchers.
+// suspectState returns Suspect if requests with fingerprint crashed searchers once, and
+// Refused if they did so again.
 func (d *daemon) suspectState(fingerprint uint64) entry.SuspectState {
 	switch d.suspects.Crashes(fingerprint) {
 	case 0:
--- a/daemon/logging.go
+++ b/daemon/logging.go
@@ -13,6 +13,7 @@
 
 // All packages use the same field names in log lines: daemon, service, group, shard,
 // searcher, move, member, epoch, generation, listener, reason, error, count.
+
 const (
 	// linesPerSecond is the maximum number of lines of each level. Under a burst of
 	// refusals, the counters give the totals and the log has the first lines of each
--- a/daemon/logging_test.go
+++ b/daemon/logging_test.go
@@ -34,9 +34,9 @@
 		lines[line.Message]++
 	}
 	if lines["storm"] != linesPerSecond || lines["rare"] != 1 || lines["later"] != 1 {
-		t.Errorf("lines %v", lines)
+		t.Errorf("got lines %v, want %d of storm, 1 of rare, 1 of later", lines, linesPerSecond)
 	}
 	if n := meter.CounterValue("log.dropped.warn") - dropped; n != 1000-linesPerSecond {
-		t.Errorf("%d lines counted as dropped", n)
+		t.Errorf("%d lines counted as dropped, want %d", n, 1000-linesPerSecond)
 	}
 }
--- a/daemon/sharesource_test.go
+++ b/daemon/sharesource_test.go
@@ -32,7 +32,7 @@
 	}
 	source.applyShares(make([]catalogue.Group, 1), func(shares map[string]lease.Share) {
 		if len(shares) != 1 {
-			t.Errorf("shares %v", shares)
+			t.Errorf("got shares %v, want 1 share", shares)
 		}
 		steps = append(steps, "apply")
 	})
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -32,6 +32,7 @@
 	d.refreshView()
 	log.Info().Msg("graceful shutdown started; handing off homes")
 	addressWait := d.cfg.AddressTTL() + leavePropagationTime
+	// The rest of the limit is for the address wait and for requests in flight.
 	leaveCtx, cancelLeave := context.WithTimeout(ctx, max(0, d.cfg.ShutdownLimit()-2*addressWait))
 	defer cancelLeave()
 	leaveDone := make(chan error, 1)
--- a/daemon/vmlookup_test.go
+++ b/daemon/vmlookup_test.go
@@ -31,7 +31,7 @@
 	} {
 		lookup := vmLookup("vm-0", time.Second, func() vmlist.List { return test.list }, func() time.Duration { return test.now })
 		if isListed, known := lookup("vm-1"); isListed != test.listed || known != test.known {
-			t.Errorf("%s: listed %v, known %v", test.name, isListed, known)
+			t.Errorf("%s: got listed %v, known %v; want %v, %v", test.name, isListed, known, test.listed, test.known)
 		}
 	}
 }
