--- a/command/code.go
+++ b/command/code.go
@@ -50,10 +50,10 @@
 // gives Failed.
 func exitCode(err error) Code {
 	var (
-		e       *exitError
-		ps      *syntax.Problems
-		race    *publish.ConflictError
-		unknown *publish.OutcomeUnknownError
+		e        *exitError
+		ps       *syntax.Problems
+		conflict *publish.ConflictError
+		unknown  *publish.OutcomeUnknownError
 	)
 	switch {
 	case err == nil:
@@ -62,7 +62,7 @@
 		return e.code
 	case errors.As(err, &ps):
 		return InvalidInput
-	case errors.As(err, &race):
+	case errors.As(err, &conflict):
 		return Conflict
 	case errors.As(err, &unknown):
 		return OutcomeUnknown
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -229,6 +229,6 @@
 	env := &command.Env{Stdout: &out, Stderr: &stderr, Clock: advancingClock{clocktest.New()}}
 	code := command.Main(ctx, []string{"status", "--watch", "--output=json", "--operator=" + strings.TrimPrefix(d.URL, "http://")}, env)
 	if code != command.OK || !strings.HasPrefix(out.String(), `{"reading":"x"}`) || !strings.Contains(stderr.String(), "answers 503") {
-		t.Errorf("code %d, output %q, standard error %q", code, out.String(), stderr.String())
+		t.Errorf("got code %d, output %q, standard error %q; want code %d, the first reading and the error of the second", code, out.String(), stderr.String(), command.OK)
 	}
 }
--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -47,6 +47,6 @@
 func TestExplainUnknownRequest(t *testing.T) {
 	code, out, errs := explain(t, "r9")
 	if code == OK || out != "" || !strings.Contains(errs, "no log line mentions the request") {
-		t.Errorf("code %d, output %q, errors %q", code, out, errs)
+		t.Errorf("got code %d, output %q, standard error %q; want a failure that says that no line mentions the request", code, out, errs)
 	}
 }
--- a/command/query_test.go
+++ b/command/query_test.go
@@ -113,7 +113,7 @@
 			d.status, d.reply = tt.status, tt.reply
 			d.query(append(tt.args, "--deadline=250ms", "--limit=3", "na kupenda")...).want(t, tt.code, tt.out, tt.stderr)
 			if got := d.received(); got["path"] != "/v1/query" || got["body"] != "na kupenda" || got["deadline_ms"] != 250.0 || got["limit"] != 3.0 || got["ticket"] != nil {
-				t.Errorf("the daemon received %v", got)
+				t.Errorf("the daemon received %v, want a query with the flags' values and no ticket", got)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 	got := d.received()
 	ticket, _ := got["ticket"].(map[string]any)
 	if got["path"] != "/v1/run" || got["id"] != "r" || ticket["incarnation"] != "i1" || ticket["issued_ms"] != 17.0 {
-		t.Errorf("the daemon received %v", got)
+		t.Errorf("the daemon received %v, want request r with ticket i1/17", got)
 	}
 	d.update(func() { d.dropConnection = true })
 	d.query("--run", "--id=r", "x").want(t, command.OutcomeUnknown, "", "repeat the command with --id r --ticket i1/17")
