--- a/settings/settings.go
+++ b/settings/settings.go
@@ -76,7 +76,7 @@
 // OperatorKey is the key in OperatorKeyFile, without surrounding white space.
 func (s Settings) OperatorKey() string { return s.spec.OperatorKey }
 
-// AddressTTL is how long callers may use an address answer.
+// AddressTTL is how long callers may use the addresses that a daemon returned.
 func (s Settings) AddressTTL() time.Duration { return s.spec.AddressTTL }
 
 // ShutdownLimit is the maximum duration of a graceful shutdown.
--- a/settings/spec.go
+++ b/settings/spec.go
@@ -56,7 +56,7 @@
 	// OperatorKey is the key in OperatorKeyFile, without surrounding white space.
 	OperatorKey string
 
-	// AddressTTL is how long callers may use an address answer.
+	// AddressTTL is how long callers may use the addresses that a daemon returned.
 	AddressTTL time.Duration
 	// ShutdownLimit is the maximum duration of a graceful shutdown.
 	ShutdownLimit time.Duration
