--- a/reference/slopes.go
+++ b/reference/slopes.go
@@ -1,7 +1,7 @@
 package reference
 
-// The slopes are costs per unit on a machine of 10 cores. The comment of each names
-// the command that prints it; docs/measurements.md has the tables.
+// The slopes are costs per unit on a machine of 10 cores. If a command prints
+// a slope, its comment names the command. docs/measurements.md has the tables.
 const (
 	// callCPUMicros and itemCPUMicros are the processor time of a peer call and of
 	// each item in it, at both ends, with client and server in one process.
@@ -19,10 +19,10 @@
 	// that each of its searchers adds. Both are from the same runs.
 	baseMemoryMB     = 23.7
 	searcherMemoryMB = 0.108
-	// catalogueMemoryMB is the memory of each searcher in the catalogue, from go test
-	// -bench Text ./catalogue/evaluate (23 MB for 65,000 searchers). orderMemoryMB is
-	// the memory that each group adds to the order of homes, from go test -bench Table
-	// ./cell.
+	// catalogueMemoryMB is the memory that each searcher adds to the catalogue, from go
+	// test -bench Text ./catalogue/evaluate (23 MB for 65,000 searchers). orderMemoryMB
+	// is the memory that each group adds to the order of homes, from go test -bench
+	// Table ./cell.
 	catalogueMemoryMB = 0.00035
 	orderMemoryMB     = 0.0003
 	// heartbeatBytes and probeBytes are the size of request and reply on the wire.
@@ -34,13 +34,13 @@
 	// healthBytes is the size of a health request and its reply with two snapshots.
 	healthBytes = 450.0
 	// installCPUMillis is the processor time to install a catalogue per 1,000 groups,
-	// from go test -bench Install ./cell. checkCPUMillis is the processor time to
-	// evaluate it per 1,000 searchers, from go test -bench Text ./catalogue/evaluate.
-	installCPUMillis = 9.5
-	checkCPUMillis   = 2.5
-	// tableCPUMicros is the processor time per group and member to order the homes of
+	// from go test -bench Install ./cell. evaluateCPUMillis is the processor time
+	// to evaluate it per 1,000 searchers, from go test -bench Text ./catalogue/evaluate.
+	installCPUMillis  = 9.5
+	evaluateCPUMillis = 2.5
+	// orderCPUMicros is the processor time per group and member to order the homes of
 	// an epoch, from go test -bench Table ./cell.
-	tableCPUMicros = 0.2
+	orderCPUMicros = 0.2
 	// catalogueBytes is the size that a searcher adds to a catalogue text in the
 	// compact form, and explicitBytes is its size in the explicit form.
 	catalogueBytes = 2.6
--- a/reference/target.go
+++ b/reference/target.go
@@ -1,6 +1,7 @@
 package reference
 
-// designTarget is the size of an installation and the limits for its control traffic.
+// designTarget is the size of an installation and the limits for control, which is all
+// work except queries.
 type designTarget struct {
 	daemons          float64
 	searchers        float64
@@ -12,7 +13,7 @@
 	restartsPerDay   float64 // Restarts of VMs.
 	coreLimit        float64 // Share of a core that control may use on each daemon.
 	memoryLimitMB    float64 // Memory that control may use on each daemon.
-	trafficLimitKB   float64 // Traffic of control on each daemon, in kB a second.
+	trafficLimitKB   float64 // Traffic that control may use on each daemon, in kB a second.
 	storeReadLimit   float64 // Reads a second.
 	storeWriteLimit  float64 // Writes a second.
 }
@@ -35,7 +36,9 @@
 	// healthRequestsPerSecond is the inverse of the interval in package home.
 	healthRequestsPerSecond = 1.0
 	// probesPerSecond is the inverse of the interval in package daemon.
-	probesPerSecond    = 5.0
-	watchersPerDomain  = 2.0
-	watchPollsPerWatch = 1 / 30.0
+	probesPerSecond = 5.0
+	// watchersPerDomain is the number of daemons of a failure domain that watch the
+	// store. watchPollsPerSecond is the rate of polls of each watch.
+	watchersPerDomain   = 2.0
+	watchPollsPerSecond = 1 / 30.0
 )
