--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -36,13 +36,13 @@
 }
 
 func (a *attempt) run(ctx context.Context) once.Outcome {
-	last := once.Refused(refusal.New(refusal.HomeUnreachable, "no daemon serves the replica group").WithRan(refusal.NotRun))
+	last := once.Refused(refusal.New(refusal.HomeUnreachable, "no daemon serves replica group %q", a.request.Group).WithRan(refusal.NotRun))
 	var tried []string
 	rounds := 0
 	for ctx.Err() == nil {
 		h, acting, ok := a.e.pickHome(a.request.Group, tried)
 		if !ok {
-			// A handoff of the home completes within a second.
+			// Retries after a pause: a handoff of the home completes within a second.
 			pause := firstRetryPause << rounds
 			if rounds >= maxRetryRounds || a.deadline-a.e.clk.Boot() <= 2*pause || clock.Sleep(ctx, a.e.clk, pause) != nil {
 				break
@@ -97,7 +97,7 @@
 	a.e.reachability.recordSuccess(h)
 	res, n := findResult(results, r)
 	if n != 1 {
-		return outcomeUnknown("reply of the home does not contain exactly one result for the request")
+		return outcomeUnknown("reply of home " + h.Name() + " does not contain exactly one result for the request")
 	}
 	return a.outcome(*res)
 }
--- a/entry/cutoffs.go
+++ b/entry/cutoffs.go
@@ -9,13 +9,13 @@
 const maxCutoffs = 4096
 
 // ticketCutoffs holds a cutoff time per owner. Tickets issued up to the cutoff
-// are not accepted for new identifiers. The cutoff makes the refusal of a
-// request that could not be recorded final.
+// are not accepted for new identifiers. A request that could not be recorded is
+// refused as "not run"; its owner's cutoff keeps a delayed copy of it from running.
 type ticketCutoffs struct {
 	mu    sync.Mutex
 	times map[string]time.Time
-	// allOwners is the cutoff of every owner. It is set when
-	// times is full and has to be cleared.
+	// allOwners is the cutoff of every owner. It is set when a full times is
+	// cleared.
 	allOwners time.Time
 }
 
--- a/entry/fixture_test.go
+++ b/entry/daemoncluster_test.go
@@ -16,9 +16,9 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// fixture simulates three daemons and one searcher, and counts the runs of each
+// daemonCluster simulates three daemons and one searcher, and counts the runs of each
 // request.
-type fixture struct {
+type daemonCluster struct {
 	t      *testing.T
 	clk    fakeClock
 	estate catalogue.Estate
@@ -32,7 +32,7 @@
 
 // node is one daemon incarnation.
 type node struct {
-	fixture     *fixture
+	cluster     *daemonCluster
 	home        Home
 	e           *Entry
 	responder   *once.Responder
@@ -41,8 +41,8 @@
 	pausedUntil time.Duration // Boot time until which the process is paused.
 }
 
-func newFixture(t *testing.T, seed uint64) *fixture {
-	f := &fixture{
+func newDaemonCluster(t *testing.T, seed uint64) *daemonCluster {
+	f := &daemonCluster{
 		t: t, clk: fakeClock{start: time.Now()}, rng: rand.New(rand.NewPCG(seed, 2)), runs: make(map[string]int),
 		estate: catalogue.NewEstate(catalogue.EstateSpec{Generation: 1, Services: []*catalogue.Service{
 			catalogue.NewService(catalogue.ServiceSpec{
@@ -61,14 +61,14 @@
 }
 
 // start kills the daemon with index i, if any, and starts a new incarnation.
-func (f *fixture) start(i int) {
+func (f *daemonCluster) start(i int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.nodes[i] != nil {
 		f.nodes[i].dead = true
 	}
 	f.started++
-	n := &node{fixture: f, home: NewHome(HomeSpec{Name: fmt.Sprint("d", i), Incarnation: fmt.Sprint("i", f.started)})}
+	n := &node{cluster: f, home: NewHome(HomeSpec{Name: fmt.Sprint("d", i), Incarnation: fmt.Sprint("i", f.started)})}
 	// The tables are small and the window is short, so that the run reaches both
 	// limits.
 	opts := []once.Option{once.WithClock(f.clk), once.WithRecords(400), once.WithWindow(4 * time.Second)}
@@ -87,7 +87,7 @@
 	f.nodes[i] = n
 }
 
-func (f *fixture) random(n int) int {
+func (f *daemonCluster) random(n int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(n)
@@ -95,16 +95,16 @@
 
 // preferenceList returns all daemons as n sees them. Daemon 0 is the home.
 func (n *node) preferenceList(string) []Home {
-	n.fixture.mu.Lock()
-	defer n.fixture.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	var list []Home
-	for _, d := range n.fixture.nodes {
+	for _, d := range n.cluster.nodes {
 		list = append(list, NewHome(HomeSpec{Name: d.home.Name(), Incarnation: d.home.Incarnation(), Self: d == n}))
 	}
 	return list
 }
 
-func (f *fixture) member(incarnation string) (Home, bool) {
+func (f *daemonCluster) member(incarnation string) (Home, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.nodes {
@@ -119,10 +119,10 @@
 // the process is dead.
 func (n *node) waitWhilePaused() bool {
 	for {
-		n.fixture.mu.Lock()
-		remaining := n.pausedUntil - n.fixture.clk.Boot()
+		n.cluster.mu.Lock()
+		remaining := n.pausedUntil - n.cluster.clk.Boot()
 		dead := n.dead
-		n.fixture.mu.Unlock()
+		n.cluster.mu.Unlock()
 		if dead || remaining <= 0 {
 			return !dead
 		}
@@ -137,15 +137,15 @@
 		<-ctx.Done() // A dead process makes no calls.
 		return nil, ctx.Err()
 	}
-	n.fixture.mu.Lock()
+	n.cluster.mu.Lock()
 	var d *node
-	for _, s := range n.fixture.nodes {
+	for _, s := range n.cluster.nodes {
 		if s.home.Name() == to.Name() {
 			d = s
 		}
 	}
-	n.fixture.mu.Unlock()
-	if n.fixture.random(50) == 0 {
+	n.cluster.mu.Unlock()
+	if n.cluster.random(50) == 0 {
 		return nil, refusal.New(refusal.HomeUnreachable, "connection refused").WithRan(refusal.NotRun)
 	}
 	return d, nil
@@ -160,15 +160,15 @@
 	}
 	replies, reset := make(chan R, 1), make(chan struct{})
 	go func() {
-		time.Sleep(time.Duration(n.fixture.random(5)) * time.Millisecond)
+		time.Sleep(time.Duration(n.cluster.random(5)) * time.Millisecond)
 		if !d.waitWhilePaused() {
 			return
 		}
-		if n.fixture.random(20) == 0 {
+		if n.cluster.random(20) == 0 {
 			close(reset) // The other process continues to run the call.
 		}
 		r := handle(d)
-		if d.waitWhilePaused() && n.fixture.random(20) != 0 {
+		if d.waitWhilePaused() && n.cluster.random(20) != 0 {
 			replies <- r
 		}
 	}()
@@ -184,7 +184,7 @@
 
 func (n *node) relay(ctx context.Context, to Home, batch []shard.Request) ([]shard.Result, error) {
 	return callPeer(ctx, n, to, func(d *node) []shard.Result {
-		ctx, cancel := clock.WithDeadline(context.Background(), n.fixture.clk, batch[0].Deadline())
+		ctx, cancel := clock.WithDeadline(context.Background(), n.cluster.clk, batch[0].Deadline())
 		defer cancel()
 		return []shard.Result{d.guard.Do(ctx, batch[0])}
 	})
@@ -194,7 +194,7 @@
 	return callPeer(ctx, n, to, func(d *node) *peerpb.OutcomeReply {
 		reply, err := d.responder.Outcome(in)
 		if err != nil {
-			n.fixture.t.Error(err)
+			n.cluster.t.Error(err)
 		}
 		return reply
 	})
@@ -208,7 +208,7 @@
 		spec.Kind, spec.Ran = kind, ran
 		return shard.NewResult(spec)
 	}
-	fault := n.fixture.random(30)
+	fault := n.cluster.random(30)
 	switch fault {
 	case 0:
 		return fail(refusal.NotHome, refusal.NotRun)
@@ -217,15 +217,15 @@
 	case 2:
 		return fail(refusal.SearcherFailed, refusal.Unknown) // Crashed before the run.
 	}
-	time.Sleep(time.Duration(n.fixture.random(30)) * time.Millisecond)
+	time.Sleep(time.Duration(n.cluster.random(30)) * time.Millisecond)
 	// The home checks its lease and the deadline immediately before the send.
-	if !n.waitWhilePaused() || n.fixture.clk.Boot() >= r.Deadline() {
+	if !n.waitWhilePaused() || n.cluster.clk.Boot() >= r.Deadline() {
 		return fail(refusal.Deadline, refusal.NotRun)
 	}
-	n.fixture.mu.Lock()
-	n.fixture.runs[r.ID()]++
-	n.fixture.mu.Unlock()
-	time.Sleep(time.Duration(n.fixture.random(30)) * time.Millisecond)
+	n.cluster.mu.Lock()
+	n.cluster.runs[r.ID()]++
+	n.cluster.mu.Unlock()
+	time.Sleep(time.Duration(n.cluster.random(30)) * time.Millisecond)
 	if fault <= 4 || !n.waitWhilePaused() {
 		return fail(refusal.SearcherFailed, refusal.Unknown) // Crashed during or after the run.
 	}
--- a/entry/decode_test.go
+++ b/entry/decode_test.go
@@ -24,7 +24,7 @@
 		kind refusal.Kind
 		path string
 	}{
-		"good":            {validQuery, refusal.None, ""},
+		"valid":           {validQuery, refusal.None, ""},
 		"empty":           {"", refusal.Malformed, ""},
 		"unknown field":   {replace(validQuery, `"limit"`, `"limits"`), refusal.Malformed, "limits"},
 		"trailing data":   {validQuery + "{}", refusal.Malformed, "follows"},
@@ -48,7 +48,7 @@
 		kind refusal.Kind
 		path string
 	}{
-		"good":           {validRun, refusal.None, ""},
+		"valid":          {validRun, refusal.None, ""},
 		"no ticket":      {replace(validRun, `"ticket":{"incarnation":"ab12","issued_ms":1700000000000},`, ""), refusal.Malformed, "ticket"},
 		"no incarnation": {replace(validRun, `"ab12"`, `""`), refusal.Malformed, "ticket.incarnation"},
 		"no time":        {replace(validRun, "1700000000000", "0"), refusal.Malformed, "ticket.issued_ms"},
@@ -86,7 +86,8 @@
 	})
 }
 
-// Guards against the same failures in the decoder of non-idempotent requests.
+// Guards against a panic of the decoder of non-idempotent requests, and against an
+// accepted request that violates a limit.
 func FuzzDecodeRun(f *testing.F) {
 	for _, s := range []string{validRun, validQuery, `{"ticket":null}`, `{"id":"a","ticket":{"issued_ms":-1}}`} {
 		f.Add([]byte(s))
--- a/entry/failover_test.go
+++ b/entry/failover_test.go
@@ -73,7 +73,7 @@
 func TestFanoutSilentHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(t, 1)
-		takeSent := c.recordSends("b")
+		drainSends := c.recordSends("b")
 		for i := range testShards {
 			c.e.labels.update(groupID(i), c.labels(groupID(i)))
 		}
@@ -87,7 +87,7 @@
 				t.Errorf("second query took %v", took)
 			}
 			ids := make(map[string]string) // Group and identifier to group and home.
-			for _, s := range takeSent() {
+			for _, s := range drainSends() {
 				if key := s.group + s.home; ids[s.group+s.id] != "" && ids[s.group+s.id] != key {
 					t.Errorf("%s: %+v has the identifier of another send", id, s)
 				} else {
@@ -95,7 +95,7 @@
 				}
 				homeIsSilent := (s.group[len("songs/s")]-'0')%3 == 1
 				if s.acting != (s.home == "c" && homeIsSilent) {
-					t.Errorf("%s: sent %+v", id, s)
+					t.Errorf("%s: send %+v has the wrong value of acting", id, s)
 				}
 			}
 		}
@@ -109,7 +109,7 @@
 	for _, crash := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newFakeCluster(t, 1)
-			takeSent := c.recordSends("")
+			drainSends := c.recordSends("")
 			c.e.suspectState = func(uint64) SuspectState { return Suspect }
 			for i := range testShards {
 				c.e.labels.update(groupID(i), c.labels(groupID(i)))
@@ -133,32 +133,31 @@
 				return []shard.Result{crashed(batch[0])}, nil
 			}
 			_, err := c.e.Search(context.Background(), query("q"), c.clk.Boot())
-			list := takeSent()
+			list := drainSends()
 			if crash {
 				if e := refusal.FromError(err); len(list) != 1 || e.Ran() != refusal.DidRun {
-					t.Errorf("crash: %d sends, %v", len(list), err)
+					t.Errorf("after the crash: %d sends, error %v; want 1 send that ran", len(list), err)
 				}
 				return
 			}
 			if err != nil || len(list) != testShards {
-				t.Errorf("%d sends, %v", len(list), err)
+				t.Errorf("%d sends, error %v; want 1 send for each of %d shards", len(list), err, testShards)
 			}
 			groups := make(map[string]bool)
 			for _, s := range list {
 				groups[s.group] = s.suspect
 			}
 			if len(groups) != testShards || slices.ContainsFunc(list, func(s sentRequest) bool { return !s.suspect }) {
-				t.Errorf("sends %+v", list)
+				t.Errorf("sends miss a shard or are not all marked as suspect: %+v", list)
 			}
 			time.Sleep(5 * time.Second)
 		})
 	}
 }
 
-// Guards against partial answers when a home becomes silent right after it answered
-// another query: that answer made it look alive to the queries that it already had.
-// 40 such queries exceed a small burst, so this also guards against a maxBurst that
-// is too low although the budget has enough credit.
+// Guards against partial answers when a home becomes silent right after an answer,
+// which made it look alive to the queries that it already had. 40 such queries with
+// enough credit also guard against a maxBurst that is too low.
 func TestFanoutHomeSilentAfterAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(t, 1)
--- a/entry/fakecluster_test.go
+++ b/entry/fakecluster_test.go
@@ -18,7 +18,7 @@
 
 func init() { invariant.PanicOnViolation() }
 
-// fakeClock is the fake clock of testing/synctest as a clock.Clock.
+// fakeClock implements clock.Clock with the fake time of testing/synctest.
 type fakeClock struct {
 	clock.System
 	start time.Time
--- a/entry/fanout.go
+++ b/entry/fanout.go
@@ -18,7 +18,7 @@
 }
 
 // fanout sends the subqueries of one plan and collects the results. Only the
-// goroutine in run accesses it, except for call.
+// goroutine that executes run changes it.
 type fanout struct {
 	s            *search
 	p            *plan
@@ -27,7 +27,8 @@
 	pendingCalls int // Calls that have not returned.
 	// stale is set when a shard no longer holds the plan's index version.
 	stale bool
-	// retryTimer fires when the subqueries with a scheduled retry are due.
+	// retryTimer fires when the subqueries with a scheduled retry are due. It
+	// is set by scheduleRetry.
 	retryTimer clock.Timer
 	// ran states whether earlier fan-outs of the query ran anywhere.
 	ran refusal.Ran
--- a/entry/labelrefresh.go
+++ b/entry/labelrefresh.go
@@ -12,7 +12,8 @@
 
 const (
 	// labelQuerySnapshot is a snapshot number that no searcher holds. A home
-	// refuses a request for it without a send and lists the group's snapshots.
+	// refuses a request for it without sending it to a searcher, and lists the
+	// group's snapshots.
 	labelQuerySnapshot = math.MaxUint64
 	// labelQueryFraction is the largest fraction of a query's remaining time
 	// that is spent on label requests before the plan.
--- a/entry/once_random_test.go
+++ b/entry/once_random_test.go
@@ -16,16 +16,15 @@
 // onceRequests is the number of non-idempotent requests over all seeds.
 const onceRequests = 10_000
 
-// Guards against a request that runs twice, and against one that runs although a
-// caller got the outcome "not run". Meanwhile callers resend to the same and to
-// other daemons, copies arrive late, daemons are killed or paused, replies are
-// lost, and searchers crash before, during and after the run.
+// Guards against a request that runs twice, or that runs although a caller got the
+// outcome "not run". Resends go to any daemon, copies arrive late, replies are lost,
+// daemons are killed or paused, and searchers crash before, during and after the run.
 func TestNonIdempotentRequestsRunAtMostOnce(t *testing.T) {
 	const seeds = 10
 	sum := make(map[string]int)
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFixture(t, seed)
+			f := newDaemonCluster(t, seed)
 			stop := make(chan struct{})
 			go f.injectFaults(stop)
 			for result, n := range f.runCallers(onceRequests / seeds) {
@@ -44,7 +43,7 @@
 }
 
 // injectFaults kills or pauses random daemons until stop is closed.
-func (f *fixture) injectFaults(stop chan struct{}) {
+func (f *daemonCluster) injectFaults(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -69,7 +68,7 @@
 	outcomes []once.Outcome
 }
 
-func (f *fixture) runCallers(n int) map[string]int {
+func (f *daemonCluster) runCallers(n int) map[string]int {
 	outcomes := make([]*callerOutcomes, n)
 	var wg sync.WaitGroup
 	for i := range n {
@@ -88,7 +87,7 @@
 
 // sendAndResend sends a request and resends it up to three times with the same
 // ticket.
-func (f *fixture) sendAndResend(id string, received *callerOutcomes) {
+func (f *daemonCluster) sendAndResend(id string, received *callerOutcomes) {
 	f.mu.Lock()
 	first := f.nodes[f.rng.IntN(len(f.nodes))]
 	f.mu.Unlock()
@@ -131,7 +130,7 @@
 	wg.Wait()
 }
 
-func (f *fixture) checkOutcomes(id string, received *callerOutcomes) string {
+func (f *daemonCluster) checkOutcomes(id string, received *callerOutcomes) string {
 	f.mu.Lock()
 	runs := f.runs[id]
 	f.mu.Unlock()
@@ -148,7 +147,7 @@
 			}
 		case o.Ran() == refusal.NotRun:
 			if runs > 0 {
-				f.t.Errorf("%s has the outcome not run but ran: %v", id, o.Err())
+				f.t.Errorf("%s has the outcome \"not run\" but ran: %v", id, o.Err())
 			}
 			if result != "ran" {
 				result = "refused"
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -28,8 +28,8 @@
 }
 
 // pollOutcome asks h for the outcome of a request until the request has finished
-// there. If h does not know the identifier, it bars it, so the outcome "not run"
-// is final.
+// there. If the identifier is new to h, h bars it, so the outcome "not run" is
+// final.
 func (e *Entry) pollOutcome(ctx context.Context, h Home, q once.OutcomeQuery) once.Outcome {
 	for pause := minPollPause; ; pause = min(2*pause, maxPollPause) {
 		reply, err := e.fleet.Outcome(ctx, h, &peerpb.OutcomeRequest{Id: q.String(), Incarnation: h.Incarnation()})
@@ -38,9 +38,9 @@
 		}
 		switch {
 		case err != nil:
-			return outcomeUnknown("daemon asked for the outcome does not answer")
+			return outcomeUnknown("daemon " + h.Name() + " does not answer the outcome call")
 		case reply.WrongIncarnation:
-			return outcomeUnknown("daemon asked for the outcome has restarted as another incarnation")
+			return outcomeUnknown("daemon " + h.Name() + " has restarted as another incarnation")
 		case reply.Finished:
 			return outcomeOf(reply)
 		}
--- a/entry/plan.go
+++ b/entry/plan.go
@@ -17,10 +17,10 @@
 // complete reports whether every shard announced the version.
 func (p *plan) complete() bool { return p.announced == len(p.subqueries) }
 
-// choosePlan plans a query on the index version that most shards can serve. Of
-// several it takes the newest. It ignores excluded versions. The hash of id
-// spreads queries over the groups of a shard. The result is false if there is no
-// version to choose.
+// choosePlan plans a query on the index version that most shards can serve, or
+// on the newest of several such versions. It ignores excluded versions. The hash
+// of id spreads queries over the groups of a shard. The result is false if there
+// is no version to choose.
 func choosePlan(l *layout, t *labelTable, id string, exclude []indexVersion) (*plan, bool) {
 	support := make([]versionSupport, 0, maxLabels)
 	for i := range l.shards {
--- a/entry/random_test.go
+++ b/entry/random_test.go
@@ -16,10 +16,9 @@
 	"medlaryard.example/medlaryard/shard"
 )
 
-// Guards against an answer that mixes snapshots, states a wrong coverage or comes
-// after its deadline, and against a refusal "not run" of a query that a searcher
-// ran. Meanwhile snapshots and partition maps change, and replies are late, lost,
-// duplicated, reordered or wrongly labelled.
+// Guards against an answer that mixes snapshots, has a wrong coverage or is late, and
+// against a refusal "not run" of a query that ran. Snapshots and partition maps change,
+// and replies are late, lost, duplicated, reordered or wrongly labelled.
 func TestRandomisedAnswersEqualTheReference(t *testing.T) {
 	var total answerCounts
 	restarts := meter.CounterValue("entry.retried.snapshot_gone")
@@ -107,7 +106,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if e.Ran() == refusal.NotRun && c.ran[q.id] {
-			c.t.Errorf("%s has the outcome not run but ran: %v", q.id, err)
+			c.t.Errorf("%s has the outcome \"not run\" but ran: %v", q.id, err)
 		}
 		return answerCounts{refused: 1}
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -72,7 +72,7 @@
 		// A copy that passed the ticket check before the cutoff was set may have
 		// been recorded since.
 		if rec = e.once.Find(r.owner, r.id); rec == nil {
-			return once.Refused(refusal.New(refusal.Overloaded, "identifier table is full"))
+			return once.Refused(refusal.New(refusal.Overloaded, "identifier table has no room for owner %q", r.owner))
 		}
 	case once.Reused:
 		// The first request with the identifier may have run.
--- a/entry/server.go
+++ b/entry/server.go
@@ -52,7 +52,7 @@
 func (s *Server) handle(c *fasthttp.RequestCtx) {
 	arrived := s.e.clk.Boot()
 	if n := s.connections.Load(); n > maxConnections {
-		writeRefusal(c, "", refusal.New(refusal.Overloaded, "daemon has too many caller connections: %d", n))
+		writeRefusal(c, "", refusal.New(refusal.Overloaded, "daemon has %d caller connections, the limit is %d", n, maxConnections))
 		c.SetConnectionClose()
 		return
 	}
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -77,7 +77,7 @@
 	check("connections", "/v1/query", validQuery, refusal.Overloaded)
 	s.connections.Add(-maxConnections)
 	e.StopAccepting()
-	check("leaving", "/v1/query", validQuery, refusal.ShuttingDown)
+	check("shutting down", "/v1/query", validQuery, refusal.ShuttingDown)
 }
 
 // Guards against a list of addresses without the incarnation or the issue time
--- a/entry/versionsupport.go
+++ b/entry/versionsupport.go
@@ -9,17 +9,17 @@
 	lastShard int // Index of the shard counted last, so that no shard counts twice.
 }
 
-func (v versionSupport) betterThan(than versionSupport) bool {
-	if v.shards != than.shards {
-		return v.shards > than.shards
+func (v versionSupport) betterThan(other versionSupport) bool {
+	if v.shards != other.shards {
+		return v.shards > other.shards
 	}
-	if v.version.snapshot != than.version.snapshot {
-		return v.version.snapshot > than.version.snapshot
+	if v.version.snapshot != other.version.snapshot {
+		return v.version.snapshot > other.version.snapshot
 	}
-	if v.version.mapID != than.version.mapID {
-		return v.version.mapID > than.version.mapID
+	if v.version.mapID != other.version.mapID {
+		return v.version.mapID > other.version.mapID
 	}
-	return v.version.total > than.version.total
+	return v.version.total > other.version.total
 }
 
 // countSupport adds the labels of one group of a shard to support. It counts each
