--- a/once/guard.go
+++ b/once/guard.go
@@ -30,7 +30,7 @@
 	rec, state := g.t.Begin(r.Owner(), r.ID(), r.Fingerprint())
 	switch state {
 	case Full:
-		return result(r, Refused(refusal.New(refusal.Overloaded, "identifier table is full")))
+		return result(r, Refused(refusal.New(refusal.Overloaded, "identifier table has no room for owner %q", r.Owner())))
 	case Reused:
 		return result(r, Refused(refusal.New(refusal.Malformed, "identifier was already used for another request").WithRan(refusal.NotRun)))
 	case Seen:
@@ -42,7 +42,7 @@
 			return result(r, Refused(refusal.New(refusal.OutcomeUnknown, "request is still running")))
 		}
 	}
-	// Stays the outcome if run panics, so that the identifier cannot run again.
+	// If run panics, this outcome is recorded, so that the identifier cannot run again.
 	o := Refused(refusal.New(refusal.OutcomeUnknown, "home failed before the outcome was known"))
 	defer func() {
 		// An entry that gets "not run" may send the request to this home again.
--- a/once/outcomequery.go
+++ b/once/outcomequery.go
@@ -43,15 +43,15 @@
 }
 
 func parseOutcomeQuery(s string) (OutcomeQuery, error) {
-	part := strings.SplitN(s, " ", 4)
-	if len(part) != 4 {
+	fields := strings.SplitN(s, " ", 4)
+	if len(fields) != 4 {
 		return OutcomeQuery{}, refusal.New(refusal.Malformed, "outcome query %q does not have four fields", s)
 	}
-	ms, err := strconv.ParseInt(part[1], 10, 64)
+	ms, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
 		return OutcomeQuery{}, refusal.New(refusal.Malformed, "outcome query %q has an invalid time: %v", s, err)
 	}
-	q := OutcomeQuery{role: Role(part[0]), owner: part[2], id: part[3]}
+	q := OutcomeQuery{role: Role(fields[0]), owner: fields[2], id: fields[3]}
 	if ms != 0 {
 		q.issued = time.UnixMilli(ms)
 	}
--- a/once/responder.go
+++ b/once/responder.go
@@ -22,7 +22,7 @@
 }
 
 // Outcome answers one call. It bars an identifier that the table does not hold. If
-// the record may have expired, or the table is full, the outcome is unknown.
+// the record may have expired, or the table has no room, the outcome is unknown.
 func (r *Responder) Outcome(in *peerpb.OutcomeRequest) (*peerpb.OutcomeReply, error) {
 	if in.Incarnation != r.incarnation {
 		return &peerpb.OutcomeReply{WrongIncarnation: true}, nil
@@ -38,7 +38,7 @@
 	}
 	record, known := t.FindOrBar(q.owner, q.id)
 	if record == nil {
-		return unknownOutcome(refusal.OutcomeUnknown, "identifier table is full"), nil
+		return unknownOutcome(refusal.OutcomeUnknown, "identifier table has no room for the owner"), nil
 	}
 	o, finished := record.Outcome()
 	return &peerpb.OutcomeReply{
--- a/once/table.go
+++ b/once/table.go
@@ -113,7 +113,8 @@
 
 // FindOrBar returns the record of an identifier; known is true if there was one.
 // Otherwise it bars the identifier: it records the outcome "not run", so that a
-// request that arrives later does not run. The record is nil if the table is full.
+// request that arrives later does not run. The record is nil if the table has no
+// room for the owner.
 func (t *Table) FindOrBar(owner, id string) (r *Record, known bool) {
 	key := Key(owner, id)
 	t.mu.Lock()
--- a/once/table_test.go
+++ b/once/table_test.go
@@ -79,7 +79,7 @@
 			},
 			"": func(t *rapid.T) {
 				if table.Len() > 6 {
-					t.Fatalf("table has %d records", table.Len())
+					t.Fatalf("table has %d records, the limit is 6", table.Len())
 				}
 				for id := range ended {
 					o, ok := table.Find("o", id).Outcome()
