--- a/searcher/decode.go
+++ b/searcher/decode.go
@@ -87,7 +87,7 @@
 		return Reply{}, badReply("decode reply: %v", err)
 	}
 	if w.ID != c.ID() {
-		return Reply{}, badReply("reply has request id %.64q, not that of the call", w.ID)
+		return Reply{}, badReply("reply has request id %.64q, want %q", w.ID, c.ID())
 	}
 	if w.Shard != c.Shard() {
 		return Reply{}, badReply("reply is from shard %.64q, want %q", w.Shard, c.Shard())
@@ -103,7 +103,7 @@
 		return Reply{}, badReply("reply has label %+v, searcher announced %+v", w.wireLabel, *a)
 	}
 	if len(w.Hits) > maxHits {
-		return Reply{}, badReply("reply has too many hits: %d", len(w.Hits))
+		return Reply{}, badReply("reply has %d hits, the limit is %d", len(w.Hits), maxHits)
 	}
 	hits := make([]shard.Hit, len(w.Hits))
 	for i, h := range w.Hits {
--- a/searcher/exchange.go
+++ b/searcher/exchange.go
@@ -22,9 +22,9 @@
 	connSilent atomic.Bool // Set when a new connection got an answer while this one was silent.
 }
 
-// run executes the call. If the caller cancels it, run returns only after the
-// cancellation was sent to the searcher, so that its slot is not counted as
-// free too early.
+// run executes the call. If the deadline passes or the caller cancels the call,
+// run returns only after a cancellation was sent to the searcher, so that the
+// searcher's slot is not counted as free too early.
 func (x *exchange) run() (Reply, *Failure) {
 	c, err := x.h.pool.get(x.ctx, false)
 	if err != nil {
@@ -163,8 +163,8 @@
 }
 
 // watchSilence requests the health of the searcher over a new connection once
-// call.Patience has passed without a byte of the reply. This tells a silent
-// connection from a silent searcher.
+// call.Patience has passed without a byte of the reply. This distinguishes a
+// silent connection from a silent searcher.
 func (x *exchange) watchSilence() (stop func()) {
 	if x.call.Patience() <= 0 {
 		return func() {}
--- a/searcher/http_test.go
+++ b/searcher/http_test.go
@@ -104,7 +104,7 @@
 
 // Guards against searchers that return more hits than the caller wants because
 // the limit of the request is not sent to them.
-func TestLimitIsSent(t *testing.T) {
+func TestLimitHeader(t *testing.T) {
 	for limit, want := range map[int]string{0: "", 25: "25"} {
 		got := make(chan string, 1)
 		_, h := newTestSearcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -116,7 +116,7 @@
 			t.Fatalf("limit %d: %v", limit, o.failure)
 		}
 		if s := <-got; s != want {
-			t.Errorf("limit %d: header X-Limit is %q", limit, s)
+			t.Errorf("limit %d: header X-Limit is %q, want %q", limit, s, want)
 		}
 	}
 }
@@ -154,19 +154,19 @@
 		kind          refusal.Kind
 		ran           refusal.Ran
 	}{
-		{"sound", set("version", "v2"), &testLabel, FaultNone, refusal.None, ""},
+		{"valid", set("version", "v2"), &testLabel, FaultNone, refusal.None, ""},
 		{"other request", set("id", "q2"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other shard", set("shard", "s2"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other snapshot", set("snapshot", 8), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other map", set("map", "x"), &testLabel, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"other range", set("high", 21), &testLabel, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"not as announced", replyWith(func(map[string]any) {}), &other, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"label not as announced", replyWith(func(map[string]any) {}), &other, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"empty range", set("low", 20), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"impossible documents", set("documents", 51), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"more documents than total", set("documents", 51), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"malformed", writeRaw("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{{{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"not HTTP", writeRaw("hello\r\n\r\n"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"truncated", writeRaw("HTTP/1.1 200 OK\r\nContent-Length: 300\r\n\r\n{"), nil, FaultReply, refusal.BadReply, refusal.Unknown},
-		{"twice", writeRaw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 2)), nil, FaultReply, refusal.BadReply, refusal.Unknown},
+		{"second reply", writeRaw(strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", 2)), nil, FaultReply, refusal.BadReply, refusal.Unknown},
 		{"too large", set("map", strings.Repeat("x", 1<<17)), nil, FaultReply, refusal.TooLarge, refusal.DidRun},
 		{"snapshot gone", status(409), nil, FaultSnapshot, refusal.SnapshotGone, refusal.NotRun},
 		{"shed", status(503, "X-Ran", "no"), nil, FaultShed, refusal.Overloaded, refusal.NotRun},
@@ -182,12 +182,12 @@
 			o := <-out
 			if c.kind == refusal.None {
 				if o.failure != nil || o.reply.Label() != testLabel || o.reply.Version() != "v2" || len(o.reply.Hits()) != 1 {
-					t.Fatalf("got %+v, %v", o.reply, o.failure)
+					t.Fatalf("reply %+v, failure %v; want a valid reply", o.reply, o.failure)
 				}
 				return
 			}
 			if o.failure == nil || o.failure.Fault() != c.fault || o.failure.Kind() != c.kind || o.failure.Ran() != c.ran {
-				t.Fatalf("got %+v", o.failure)
+				t.Fatalf("failure %+v, want fault %s, kind %s, ran %s", o.failure, c.fault, c.kind, c.ran)
 			}
 		})
 	}
@@ -195,7 +195,7 @@
 
 // Guards against a crash that is classified as a broken connection. The request
 // would then be retried on the next searcher and might crash that one too.
-func TestCrashDistinguishedFromBrokenConnection(t *testing.T) {
+func TestCrashDetection(t *testing.T) {
 	s, h := newTestSearcher(t, nil)
 	s.search = func(w http.ResponseWriter, r *http.Request) {
 		s.boot.Store("b2")
@@ -208,13 +208,13 @@
 	}
 	out, _ := startCall(h, CallSpec{})
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultCrashed {
-		t.Fatalf("got %+v", o.failure)
+		t.Fatalf("failure %+v, want fault crashed", o.failure)
 	}
 }
 
 // Guards against searches that continue after the caller has cancelled, and
 // against a cancelled call that is reported as not run.
-func TestCancelIsSentToSearcher(t *testing.T) {
+func TestCancelSearch(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	s, h := newTestSearcher(t, func(http.ResponseWriter, *http.Request) {
 		arrived <- struct{}{}
@@ -225,10 +225,10 @@
 	<-arrived
 	cancel()
 	if o := <-out; o.failure == nil || o.failure.Kind() != refusal.Cancelled || o.failure.Ran() != refusal.Unknown {
-		t.Fatalf("got %+v", o.failure)
+		t.Fatalf("failure %+v, want a cancelled call that may have run", o.failure)
 	}
 	if id := <-s.cancelled; id != "q1" {
-		t.Fatalf("cancelled %q", id)
+		t.Fatalf("cancellation has id %q, want q1", id)
 	}
 }
 
@@ -238,18 +238,18 @@
 	_, h := newTestSearcher(t, func(http.ResponseWriter, *http.Request) { t.Error("request was written") })
 	out, _ := startCall(h, CallSpec{Permit: func() *refusal.Error { return refusal.New(refusal.NotHome, "lease") }})
 	if o := <-out; o.failure == nil || o.failure.Kind() != refusal.NotHome || o.failure.Ran() != refusal.NotRun {
-		t.Fatalf("got %+v", o.failure)
+		t.Fatalf("failure %+v, want the refusal of Permit", o.failure)
 	}
 }
 
 // Guards against a failed connect that is reported as a request that may have
 // run.
-func TestConnectFailureIsNotRun(t *testing.T) {
+func TestConnectFailureNotRun(t *testing.T) {
 	s, h := newTestSearcher(t, nil)
 	s.Close()
 	out, _ := startCall(h, CallSpec{})
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultConnect || o.failure.Ran() != refusal.NotRun {
-		t.Fatalf("got %+v", o.failure)
+		t.Fatalf("failure %+v, want fault connect and not run", o.failure)
 	}
 }
 
@@ -263,7 +263,7 @@
 	<-silent
 	cancel()
 	if o := <-out; o.failure == nil || o.failure.Fault() != FaultSilentConnection {
-		t.Fatalf("got %+v", o.failure)
+		t.Fatalf("failure %+v, want a silent connection", o.failure)
 	}
 }
 
@@ -288,7 +288,7 @@
 	defer s.mu.Unlock()
 	// The server may see a connection close after the next one has opened.
 	if n := h.pool.size(); n > 4 {
-		t.Errorf("%d connections open, the server saw %d at once", n, s.max)
+		t.Errorf("%d connections open, the limit is 4; the server saw %d at once", n, s.max)
 	}
 }
 
--- a/searcher/pool.go
+++ b/searcher/pool.go
@@ -97,7 +97,7 @@
 	return c, nil
 }
 
-// put returns a connection to the pool. The caller passes reuse only if the
+// put returns a connection to the pool. The caller sets reuse only if the
 // connection is known to be open and has no reply outstanding.
 func (p *pool) put(c *conn, reuse bool) {
 	p.mu.Lock()
--- a/searcher/target.go
+++ b/searcher/target.go
@@ -35,8 +35,8 @@
 // before Health returns.
 func (t *Target) Health(done func(Health, *Failure)) { t.spec.Health(done) }
 
-// SetMaxConnections sets the maximum number of connections and closes idle ones above it;
-// 0 closes all idle ones.
+// SetMaxConnections sets the maximum number of connections and closes idle ones
+// above it; 0 closes all idle ones.
 func (t *Target) SetMaxConnections(connections int) { t.spec.SetMaxConnections(connections) }
 
 // OpenConnections returns the number of connections open or being opened.
