--- a/move/controller.go
+++ b/move/controller.go
@@ -40,8 +40,8 @@
 type ControllerOption func(*Controller)
 
 // WithLeadershipCheck sets the check whether this daemon is still the leader, which
-// holds the controller role. The check runs immediately before each write. By default
-// it always succeeds.
+// holds the controller role. The check runs immediately before each write; if it
+// fails, nothing is written. By default it always succeeds.
 func WithLeadershipCheck(holdsRole func() bool) ControllerOption {
 	return func(c *Controller) { c.holdsRole = holdsRole }
 }
--- a/move/controller_test.go
+++ b/move/controller_test.go
@@ -219,7 +219,7 @@
 				for r.phase() != RolledBack {
 					r.tick()
 					if r.clock.Boot() > time.Hour+10*time.Minute {
-						t.Fatalf("seed %d: phase %s", seed, r.phase())
+						t.Fatalf("seed %d: phase %s at the finish time, want rolled_back", seed, r.phase())
 					}
 				}
 				r.checkHistory(t)
@@ -250,7 +250,7 @@
 		r.tick()
 	}
 	if r.phase() != Finished {
-		t.Fatalf("phase %s", r.phase())
+		t.Fatalf("phase %s, want finished", r.phase())
 	}
 	r.checkHistory(t)
 }
--- a/move/schedule_test.go
+++ b/move/schedule_test.go
@@ -11,7 +11,7 @@
 
 // Guards against a schedule whose shares or times do not increase, that never
 // reaches full share, or that leaves no reserve before the finish time.
-func TestScheduleReachesFullShareInTime(t *testing.T) {
+func TestScheduleFullShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(rapid.Int64Range(0, 1e9).Draw(t, "start"), 0)
 		length := time.Duration(rapid.Int64Range(10, 1e6).Draw(t, "seconds")) * time.Second
@@ -25,7 +25,7 @@
 			}
 		}
 		if s.Share(last) != 1 || !s.IsLast(last) {
-			t.Fatalf("last step has share %v", s.Share(last))
+			t.Fatalf("last step has share %v, want 1", s.Share(last))
 		}
 		if left := s.finishBy.Sub(s.Due(last)); left < time.Duration(finishReserve*float64(length))-time.Nanosecond {
 			t.Fatalf("only %v of %v left after the last step", left, length)
--- a/move/window.go
+++ b/move/window.go
@@ -12,12 +12,12 @@
 const windowLength = 15 * time.Second
 
 // window collects the evidence of a move over the whole step and over the recent
-// past: the current and the previous interval of windowLength.
+// past.
 type window struct {
 	wholeStep *routeSamples
-	current   *routeSamples
-	previous  *routeSamples
-	rotatedAt time.Duration
+	current   *routeSamples // Since rotatedAt.
+	previous  *routeSamples // The interval before rotatedAt and the time since.
+	rotatedAt time.Duration // Boot time.
 }
 
 func newWindow(now time.Duration) *window {
