--- a/clock/clocktest/manual.go
+++ b/clock/clocktest/manual.go
@@ -70,8 +70,8 @@
 	m.mu.Unlock()
 }
 
-// Waiters returns the number of pending timers.
-func (m *Manual) Waiters() int {
+// PendingTimers returns the number of pending timers.
+func (m *Manual) PendingTimers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.pending)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -87,8 +87,8 @@
 		d.vms = vmlist.NewReader("http://"+cfg.VMListAddress(), vmlist.WithInterval(cfg.VMListInterval()))
 	}
 	peerOptions := []peer.Option{
-		peer.WithKey(cfg.PeerKey()), peer.WithConnections(cfg.PeerConnections()),
-		peer.WithMaxMessage(int64(cfg.PeerMessageBytes())),
+		peer.WithKey(cfg.PeerKey()), peer.WithMaxConnections(cfg.PeerConnections()),
+		peer.WithMaxMessageBytes(int64(cfg.PeerMessageBytes())),
 	}
 	d.client = peer.NewClient(peerOptions...)
 	d.strikes = newStrikeBroadcast(d.client, d.others)
--- a/node/cluster_test.go
+++ b/node/cluster_test.go
@@ -87,7 +87,7 @@
 	t := shards.New(1).Add(id, shards.NewBehaviour(time.Millisecond, shards.Slots(4)))
 	c.targets = append(c.targets, t)
 	done := make(chan error, 1)
-	go func() { done <- t.Listen(l) }()
+	go func() { done <- t.Serve(l) }()
 	c.t.Cleanup(func() {
 		_ = l.Close()
 		t.SetBehaviour(shards.NewBehaviour(0, shards.Down()))
--- a/peer/option.go
+++ b/peer/option.go
@@ -50,8 +50,8 @@
 // and a server accepts every call that reaches its listener.
 func WithKey(key string) Option { return func(c *config) { c.key = key } }
 
-// WithMaxMessage limits the size of a request or reply to n bytes.
-func WithMaxMessage(n int64) Option { return func(c *config) { c.maxMessageBytes = n } }
+// WithMaxMessageBytes limits the size of a request or reply to n bytes.
+func WithMaxMessageBytes(n int64) Option { return func(c *config) { c.maxMessageBytes = n } }
 
-// WithConnections limits a client to n connections per daemon.
-func WithConnections(n int) Option { return func(c *config) { c.maxConnections = n } }
+// WithMaxConnections limits a client to n connections per daemon.
+func WithMaxConnections(n int) Option { return func(c *config) { c.maxConnections = n } }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -119,7 +119,7 @@
 	h := Handlers{Strike: func(context.Context, *peerpb.StrikeRequest) (*peerpb.StrikeReply, error) {
 		return &peerpb.StrikeReply{}, nil
 	}}
-	address := startServer(t, h, WithKey("k"), WithMaxMessage(1000))
+	address := startServer(t, h, WithKey("k"), WithMaxMessageBytes(1000))
 	for name, c := range map[string]struct {
 		key, encoding string
 		size, status  int
@@ -152,7 +152,7 @@
 		return &peerpb.OutcomeReply{Body: make([]byte, 100_000)}, nil
 	}
 	address := startServer(t, Handlers{Outcome: large}, WithKey("k"))
-	c := NewClient(WithMaxMessage(1000), WithKey("k"))
+	c := NewClient(WithMaxMessageBytes(1000), WithKey("k"))
 	defer c.Close()
 	if _, err := c.Outcome(context.Background(), address, &peerpb.OutcomeRequest{}); err == nil || refusal.FromError(err).Ran() != refusal.Unknown {
 		t.Errorf("large reply: %v", err)
@@ -190,7 +190,7 @@
 		}}))
 	}()
 	defer func() { _ = l.Close() }()
-	c := NewClient(WithConnections(1))
+	c := NewClient(WithMaxConnections(1))
 	defer c.Close()
 	clk := clock.System{}
 	ctx, cancel := clock.WithDeadline(context.Background(), clk, clk.Boot()+50*time.Millisecond)
--- a/query/cold_test.go
+++ b/query/cold_test.go
@@ -37,7 +37,7 @@
 		}
 		for _, name := range []string{"shard0", "shard3"} {
 			for _, tgt := range c.targets[name] {
-				if n := tgt.MostArrivals(time.Second); n > 11 {
+				if n := tgt.MaxArrivals(time.Second); n > 11 {
 					t.Errorf("cold target %s got %d requests within a second, the bound is 11", tgt.ID(), n)
 				}
 			}
--- a/query/load_test.go
+++ b/query/load_test.go
@@ -17,7 +17,7 @@
 // and 11 ms of work. Pauses of 120 ms every 3 s are added by the tests.
 func behaviour(opts ...shards.Option) shards.Behaviour {
 	opts = append([]shards.Option{
-		shards.Slots(2), shards.Spread(0.35), shards.MaxConnections(26), shards.Handshake(6 * time.Millisecond),
+		shards.Slots(2), shards.ServiceTimeSpread(0.35), shards.MaxConnections(26), shards.Handshake(6 * time.Millisecond),
 	}, opts...)
 	return shards.NewBehaviour(11*time.Millisecond, opts...)
 }
--- a/standin/shards/behaviour.go
+++ b/standin/shards/behaviour.go
@@ -54,9 +54,9 @@
 // connections.
 func MaxConnections(n int) Option { return func(b *Behaviour) { b.maxConns = n } }
 
-// Spread makes the service time log-normal: s is the standard deviation of its
-// logarithm.
-func Spread(s float64) Option { return func(b *Behaviour) { b.spread = s } }
+// ServiceTimeSpread makes the service time log-normal: s is the standard deviation
+// of its logarithm.
+func ServiceTimeSpread(s float64) Option { return func(b *Behaviour) { b.spread = s } }
 
 // Slow multiplies the service time by factor.
 func Slow(factor float64) Option { return func(b *Behaviour) { b.slowFactor = factor } }
--- a/standin/shards/listen.go
+++ b/standin/shards/serve.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Listen accepts and serves connections on l until l is closed. It resets a new
+// Serve accepts and serves connections on l until l is closed. It resets a new
 // connection if the target is down or has reached its connection limit.
-func (t *Target) Listen(l net.Listener) error {
+func (t *Target) Serve(l net.Listener) error {
 	for {
 		conn, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -34,7 +34,7 @@
 	handshake := t.behaviour.handshakeTime
 	go func() {
 		time.Sleep(handshake)
-		t.serve(conn)
+		t.serveConn(conn)
 	}()
 }
 
--- a/standin/shards/target.go
+++ b/standin/shards/target.go
@@ -78,10 +78,10 @@
 	return runs
 }
 
-// MostArrivals returns the maximum number of requests that arrived within any
+// MaxArrivals returns the maximum number of requests that arrived within any
 // interval of length span. Requests that were addressed to another target do not
 // count.
-func (t *Target) MostArrivals(span time.Duration) int {
+func (t *Target) MaxArrivals(span time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maxCount, first := 0, 0
@@ -108,8 +108,8 @@
 	return t.peakConns
 }
 
-// Accepted returns the number of connections that the target accepted.
-func (t *Target) Accepted() int {
+// AcceptedConnections returns the number of connections that the target accepted.
+func (t *Target) AcceptedConnections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.accepted
@@ -151,7 +151,7 @@
 	t.conns[server] = struct{}{}
 	t.accepted++
 	t.peakConns = max(t.peakConns, len(t.conns))
-	go t.serve(server)
+	go t.serveConn(server)
 	return client, nil
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// serve serves the requests of one connection until it closes.
-func (t *Target) serve(conn net.Conn) {
+// serveConn serves the requests of one connection until it closes.
+func (t *Target) serveConn(conn net.Conn) {
 	defer func() {
 		t.mu.Lock()
 		delete(t.conns, conn)
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -60,7 +60,7 @@
 }
 
 func healthyBehaviour() shards.Behaviour {
-	return shards.NewBehaviour(3*time.Millisecond, shards.Slots(4), shards.Spread(0.3))
+	return shards.NewBehaviour(3*time.Millisecond, shards.Slots(4), shards.ServiceTimeSpread(0.3))
 }
 
 // Config is the configuration of a run.
@@ -161,7 +161,7 @@
 		return err
 	}
 	t := e.Add(id, healthyBehaviour())
-	go func() { _ = t.Listen(l) }() // Returns when close closes the listener.
+	go func() { _ = t.Serve(l) }() // Returns when close closes the listener.
 	p, err := newProxy("127.0.91.2:0", l.Addr().String())
 	if err != nil {
 		return err
--- a/targets/cold_test.go
+++ b/targets/cold_test.go
@@ -59,7 +59,7 @@
 				if got, want := len(cold.Runs()), c.rate*12/2; float64(got) < want {
 					t.Errorf("the cold target got %d requests in 12 s, want at least %.0f", got, want)
 				}
-				if most := cold.MostArrivals(time.Second); float64(most) > c.rate*coldOvershoot+coldSlack {
+				if most := cold.MaxArrivals(time.Second); float64(most) > c.rate*coldOvershoot+coldSlack {
 					t.Errorf("the cold target got %d requests within a second, the bound is %v", most, c.rate*coldOvershoot+coldSlack)
 				}
 			})
--- a/targets/group_test.go
+++ b/targets/group_test.go
@@ -149,10 +149,10 @@
 		f := newFixture(1, behaviour())
 		defer f.close()
 		f.send("first", false)
-		before := f.targets[0].Accepted()
+		before := f.targets[0].AcceptedConnections()
 		time.Sleep(time.Second)
 		f.send("second", false)
-		if n := f.targets[0].Accepted() - before; n != 1 {
+		if n := f.targets[0].AcceptedConnections() - before; n != 1 {
 			t.Errorf("%d new connections for a request after 1 s of idle time, want 1", n)
 		}
 	})
--- a/vmlist/reader_test.go
+++ b/vmlist/reader_test.go
@@ -65,7 +65,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	r.Close()
-	if c.Waiters() != 0 {
-		t.Errorf("%d timers after Close", c.Waiters())
+	if c.PendingTimers() != 0 {
+		t.Errorf("%d timers after Close", c.PendingTimers())
 	}
 }
