--- a/standin/shards/emulator.go
+++ b/standin/shards/emulator.go
@@ -41,8 +41,9 @@
 func (t *Target) ID() string { return t.id }
 
 // Dial returns an in-memory connection to the target at address. It refuses the
-// connection if there is no target or the target is down, and blocks until ctx
-// ends if the target is a blackhole.
+// connection if there is no target or the target is down, resets it if the target
+// has reached its connection limit, and blocks until ctx ends if the target is a
+// blackhole.
 func (e *Emulator) Dial(ctx context.Context, address string) (net.Conn, error) {
 	e.mu.Lock()
 	t := e.targets[address]
--- a/standin/shards/target.go
+++ b/standin/shards/target.go
@@ -121,14 +121,14 @@
 	return t.behaviour
 }
 
-// chance returns true with probability p.
-func (t *Target) chance(p float64) bool {
+// randomFault reports whether to inject a fault with probability p.
+func (t *Target) randomFault(p float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return p > 0 && t.rng.Float64() < p
 }
 
-// dial returns an in-memory connection to the target.
+// dial implements Emulator.Dial.
 func (t *Target) dial(ctx context.Context) (net.Conn, error) {
 	b := t.currentBehaviour()
 	switch {
@@ -196,7 +196,7 @@
 	t.mu.Lock()
 	t.arrivals = append(t.arrivals, time.Now())
 	t.mu.Unlock()
-	if t.chance(b.refusedShare) || !t.acquireSlot(b) {
+	if t.randomFault(b.refusedShare) || !t.acquireSlot(b) {
 		t.mu.Lock()
 		t.refused++
 		t.mu.Unlock()
@@ -214,14 +214,14 @@
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
-	if t.chance(b.droppedReplyShare) {
+	if t.randomFault(b.droppedReplyShare) {
 		return false
 	}
-	if t.chance(b.failedShare) {
+	if t.randomFault(b.failedShare) {
 		return writeString(conn, formatResponse(500, id, t.id, nil))
 	}
 	response := formatResponse(200, id, t.id, Records(t.id, string(req.RequestURI())))
-	if t.chance(b.duplicatedReplyShare) {
+	if t.randomFault(b.duplicatedReplyShare) {
 		response += response
 	}
 	return writeString(conn, response)
@@ -258,7 +258,7 @@
 	return t.crashes
 }
 
-// releaseSlot frees a slot that acquireSlot returned.
+// releaseSlot frees a slot that acquireSlot acquired.
 func (t *Target) releaseSlot() {
 	<-t.slots
 	t.mu.Lock()
