--- a/standin/objects/handler.go
+++ b/standin/objects/handler.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -104,7 +105,7 @@
 		return
 	}
 	if len(put.Value) > store.MaxValueBytes {
-		http.Error(w, "value exceeds 1 MB", http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("value of %q has %d bytes, the limit is %d", key, len(put.Value), store.MaxValueBytes), http.StatusRequestEntityTooLarge)
 		return
 	}
 	expected := store.Any
