--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -11,7 +11,7 @@
 	"medlaryard.example/medlaryard/standin/shards"
 )
 
-// fault is a kind of fault. inject starts it and arranges its end.
+// fault is a kind of fault. inject applies it for d and may return before it ends.
 type fault struct {
 	name    string
 	planned bool // The fault is a planned operation, which must not cut off requests.
--- a/standin/soak/process.go
+++ b/standin/soak/process.go
@@ -149,7 +149,7 @@
 	case <-exited:
 	case <-time.After(shutdownTimeout + time.Second):
 		p.mu.Lock()
-		p.violations = append(p.violations, p.name+" did not exit within its shutdown timeout after SIGTERM; killing it")
+		p.violations = append(p.violations, fmt.Sprintf("%s did not exit within its shutdown timeout of %v after SIGTERM; killing it", p.name, shutdownTimeout))
 		p.mu.Unlock()
 		p.signal(syscall.SIGKILL)
 	}
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -24,6 +24,7 @@
 	// minShards is the number of parts that a successful response must have.
 	minShards  = 5
 	topRecords = 10
+	// extraRatio and extraSlack are the extra_sends settings of the daemons.
 	extraRatio = 0.2
 	extraSlack = 54
 	// settleTime is the time after an unplanned fault until the guarantees hold
@@ -49,7 +50,7 @@
 	unplannedFaults []interval
 }
 
-// interval is the duration of an unplanned fault.
+// interval is the time span of an unplanned fault.
 type interval struct{ start, end time.Time }
 
 // proxiedTarget is a target that daemons reach through a proxy.
@@ -90,7 +91,7 @@
 		return nil, err
 	}
 	if !s.waitUntilServing(recoveryTimeout) {
-		return []string{"not all daemons serve requests after their start"}, nil
+		return []string{fmt.Sprintf("not all daemons serve requests within %v of their start", recoveryTimeout)}, nil
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -201,7 +202,8 @@
 }
 
 // runFault injects f for d and records the interval in which an unplanned fault may
-// cut off requests.
+// cut off requests. The interval ends d after inject returns, because some faults
+// outlast inject.
 func (s *Soak) runFault(f fault, d time.Duration) {
 	start := time.Now()
 	if !f.planned {
