--- a/standin/load/answer_log.go
+++ b/standin/load/answer_log.go
@@ -38,8 +38,8 @@
 	return violations
 }
 
-// contradiction describes an answer that the number of runs disproves; it is
-// empty if there is none. The answers are in the order of arrival, and the last
+// contradiction describes an answer that the number of runs disproves. It returns
+// "" if there is none. The answers are in the order of arrival, and the last
 // request was sent after all others were answered or timed out. A refusal that
 // precedes an outcome may have been correct when it was sent. A last answer with
 // ran "no" must be correct, because the caller may then send the request under a
--- a/standin/load/check.go
+++ b/standin/load/check.go
@@ -13,7 +13,7 @@
 	corpus *searchers.Corpus
 }
 
-// violation describes what is wrong with an answer; it is empty for a correct one.
+// violation describes what is wrong with an answer. It returns "" for a correct one.
 func (c checker) violation(r wireRequest, a wireAnswer) string {
 	cov := a.Coverage
 	full := cov.Documents == cov.Total
--- a/standin/load/check_test.go
+++ b/standin/load/check_test.go
@@ -7,6 +7,8 @@
 	"medlaryard.example/medlaryard/standin/searchers"
 )
 
+// referenceAnswer returns the correct answer to r if only the given key ranges are
+// covered.
 func referenceAnswer(c *searchers.Corpus, r wireRequest, snapshot uint64, ranges ...searchers.Range) wireAnswer {
 	a := wireAnswer{ID: r.ID, Snapshot: snapshot, Coverage: wireCoverage{Total: c.Total(snapshot)}}
 	for _, r := range ranges {
@@ -23,7 +25,7 @@
 
 // Guards against a checker that accepts an answer with a wrong id, snapshot,
 // coverage or hits.
-func TestCheckerFindsViolations(t *testing.T) {
+func TestCheckerViolations(t *testing.T) {
 	c := searchers.NewCorpus(3, 400)
 	r := wireRequest{ID: "q", Limit: 5, Body: json.RawMessage(`"chorus 1"`)}
 	whole, half := searchers.Range{High: searchers.KeySpace}, searchers.Range{High: searchers.KeySpace / 2}
@@ -51,14 +53,14 @@
 		a := referenceAnswer(c, r, 1, tc.ranges)
 		tc.change(&a)
 		if f := (checker{corpus: c}).violation(r, a); (f != "") != tc.violation {
-			t.Errorf("%s: violation %q", tc.name, f)
+			t.Errorf("%s: violation %q, want one: %v", tc.name, f, tc.violation)
 		}
 	}
 }
 
 // Guards against an answerLog that accepts a request that ran twice, or an answer
 // that wrongly states whether the request ran.
-func TestAnswerLogFindsViolations(t *testing.T) {
+func TestAnswerLogViolations(t *testing.T) {
 	ok, no, unknown := wireAnswer{Outcome: "done"}, wireAnswer{Kind: "overloaded", Ran: "no"}, wireAnswer{Kind: "deadline", Ran: "unknown"}
 	cases := []struct {
 		name       string
--- a/standin/load/extra_sends.go
+++ b/standin/load/extra_sends.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// ExtraSends counts the sub-requests that the searchers received, and the hedges
-// and retries among them by the daemons' counters.
+// ExtraSends contains the number of sub-requests that the searchers received, and
+// the numbers of hedges and retries that the daemons counted.
 type ExtraSends struct {
 	SubRequests int64
 	Hedges      int64
--- a/standin/load/generator_test.go
+++ b/standin/load/generator_test.go
@@ -68,7 +68,7 @@
 // Guards against requests that are lost or counted twice, address requests while
 // the cached addresses are valid, counters that are not read, and a run that
 // fails because the counters of a killed daemon cannot be read.
-func TestRunCountsRequests(t *testing.T) {
+func TestRunRequestCounts(t *testing.T) {
 	d := startFakeDaemon(t, 60_000)
 	report, err := Run(context.Background(), Config{
 		Daemons: []string{"127.0.0.1:1", d.address}, Operators: []string{d.address, "127.0.0.1:1"}, Searchers: d.address,
@@ -90,7 +90,7 @@
 
 // Guards against resends that are not sent, or a repeated run that is not
 // reported.
-func TestRunReportsRepeatedRuns(t *testing.T) {
+func TestRunRepeatedRuns(t *testing.T) {
 	d := startFakeDaemon(t, 0)
 	report, err := Run(context.Background(), Config{
 		Daemons: []string{d.address}, Searchers: d.address, Rate: 5000, Count: 20, RunRatio: 1, ResendRatio: 1,
@@ -99,15 +99,15 @@
 		t.Fatal(err)
 	}
 	if n, _ := report.Violations(); n != 20 {
-		t.Errorf("%d violations for 20 requests that ran three times", n)
+		t.Errorf("%d violations for 20 requests that ran three times, want 20", n)
 	}
 }
 
 // Guards against a run that fails because no daemon is reachable, instead of
 // reporting the requests as refused.
-func TestRunWithUnreachableDaemon(t *testing.T) {
+func TestRunUnreachableDaemon(t *testing.T) {
 	report, err := Run(context.Background(), Config{Daemons: []string{"127.0.0.1:1"}, Rate: 1000, Count: 5})
 	if err != nil || report.Refused()[kindNoAddress] != 5 {
-		t.Errorf("refused %v, error %v", report.Refused(), err)
+		t.Errorf("refused %v, error %v, want 5 of kind %s", report.Refused(), err, kindNoAddress)
 	}
 }
--- a/standin/load/searcher_totals.go
+++ b/standin/load/searcher_totals.go
@@ -11,12 +11,13 @@
 	RefusedConnections int64
 	Crashes            int64
 	AfterDrain         int64
-	// PeakColdKnown is the highest number of requests in flight at one searcher
-	// during a cold start that the daemons could have detected, since the
+	// PeakColdKnown is the maximum number of requests in flight at a searcher
+	// whose cold start the daemons could detect. It covers the time since the
 	// searchers started.
 	PeakColdKnown int64
-	// LastAfterDrain is the time from the start of a drain to the last arrival of
-	// a request, the highest of all searchers since they started.
+	// LastAfterDrain is the maximum time from the start of a drain to the arrival
+	// of a request at the draining searcher. It covers the time since the
+	// searchers started.
 	LastAfterDrain time.Duration
 }
 
@@ -49,8 +50,8 @@
 	return totals, nil
 }
 
-// since subtracts the sums of an earlier reading; PeakColdKnown and
-// LastAfterDrain stay.
+// since subtracts the sums of an earlier reading. It keeps PeakColdKnown and
+// LastAfterDrain, because they are not sums.
 func (t SearcherTotals) since(earlier SearcherTotals) SearcherTotals {
 	t.Received -= earlier.Received
 	t.Collapses -= earlier.Collapses
