--- a/standin/searchers/corpus_test.go
+++ b/standin/searchers/corpus_test.go
@@ -10,7 +10,7 @@
 
 // Guards against shard ranges that overlap or leave documents out: a merge of the
 // shards' answers must equal the reference answer.
-func TestShardAnswersMergeToReference(t *testing.T) {
+func TestMergedShardAnswers(t *testing.T) {
 	c := NewCorpus(7, 300)
 	rapid.Check(t, func(t *rapid.T) {
 		p := PartitionMap{
@@ -39,7 +39,7 @@
 			t.Fatal(d)
 		}
 		if other := c.Search(snapshot+1, ranges, query, 20); len(whole) == 0 || string(other[0].Data) == string(whole[0].Data) {
-			t.Fatalf("query %q does not tell snapshots %d and %d apart", query, snapshot, snapshot+1)
+			t.Fatalf("query %q has no hit or the same first hit in snapshots %d and %d", query, snapshot, snapshot+1)
 		}
 	})
 }
--- a/standin/searchers/record.go
+++ b/standin/searchers/record.go
@@ -22,8 +22,9 @@
 	PeakInFlight       int `json:"peak_in_flight"`
 	// PeakCold is the highest number of requests in flight during a cold start.
 	PeakCold int `json:"peak_cold"`
-	// PeakColdKnown is the same, counted only from coldSignGrace after the first
-	// sign of the cold start: a broken connection, a health reply or a slow answer.
+	// PeakColdKnown is PeakCold without the time before coldSignGrace has passed
+	// since the first sign of the cold start: a broken connection, a health reply
+	// or a slow answer.
 	PeakColdKnown int `json:"peak_cold_known"`
 	// AfterDrain counts requests that arrived while draining. LastAfterDrain is
 	// the time from the start of the drain to the arrival of the last of them.
--- a/standin/searchers/searcher.go
+++ b/standin/searchers/searcher.go
@@ -38,8 +38,8 @@
 	rng              *rand.Rand
 }
 
-// Start starts a searcher that serves until Close. It returns an error if the
-// address cannot be listened on.
+// Start starts a searcher that serves until Close. It returns an error if it
+// cannot listen on cfg.Address.
 func Start(cfg Config, corpus *Corpus) (*Searcher, error) {
 	cfg = cfg.withDefaults()
 	l, err := net.Listen("tcp", cfg.Address)
--- a/standin/searchers/searcher_test.go
+++ b/standin/searchers/searcher_test.go
@@ -231,7 +231,7 @@
 }
 
 // Guards against ignoring a misspelt fault: a test would pass without the fault.
-func TestAdminRejectsUnknownFault(t *testing.T) {
+func TestAdminUnknownFault(t *testing.T) {
 	a := NewAdmin(&Fleet{searchers: []*Searcher{startSearcher(t, Config{})}})
 	for body, want := range map[string]int{`{"down":true}`: 200, `{"outage":true}`: 400} {
 		w := httptest.NewRecorder()
