--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -79,7 +79,7 @@
 	}
 	got, _ = Results(&peerpb.RelayReply{Results: []*peerpb.RelayResult{{Ran: "maybe"}}})
 	if got[0].Ran() != refusal.Unknown {
-		t.Errorf("ran %q", got[0].Ran())
+		t.Errorf("unknown ran decoded as %q, want %q", got[0].Ran(), refusal.Unknown)
 	}
 }
 
@@ -96,26 +96,26 @@
 		kind   refusal.Kind
 		change func(*peerpb.RelayRequest)
 	}{
-		"late":     {refusal.Deadline, func(m *peerpb.RelayRequest) { m.RemainingUs = 0 }},
-		"for ever": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.RemainingUs = 1 << 62 }},
-		"class":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Class = "x" }},
-		"limit":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Limit = maxHits + 1 }},
-		"name":     {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxNameBytes+1) }},
-		"group":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxNameBytes+1) }},
-		"items":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items = make([]*peerpb.RelayItem, maxItems+1) }},
-		"nil item": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0] = nil }},
+		"deadline passed":  {refusal.Deadline, func(m *peerpb.RelayRequest) { m.RemainingUs = 0 }},
+		"distant deadline": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.RemainingUs = 1 << 62 }},
+		"class":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Class = "x" }},
+		"limit":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Limit = maxHits + 1 }},
+		"name":             {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxNameBytes+1) }},
+		"group":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxNameBytes+1) }},
+		"items":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items = make([]*peerpb.RelayItem, maxItems+1) }},
+		"nil item":         {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0] = nil }},
 	} {
 		m := good()
 		c.change(m)
 		if _, err := Requests(m, 0); err == nil || refusal.FromError(err).Kind() != c.kind {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want kind %s", name, err, c.kind)
 		}
 	}
 }
 
 // Guards against a server that accepts requests without the key, in another
 // encoding or of more than the maximum size.
-func TestServerRejectsInvalidRequests(t *testing.T) {
+func TestServerInvalidRequests(t *testing.T) {
 	h := Handlers{Strike: func(context.Context, *peerpb.StrikeRequest) (*peerpb.StrikeReply, error) {
 		return &peerpb.StrikeReply{}, nil
 	}}
@@ -213,6 +213,6 @@
 		c.remote(net.JoinHostPort("127.0.0.1", strings.Repeat("1", i%50)+string(rune('a'+i%26))+time.Duration(i).String()))
 	}
 	if len(c.remotes) > maxRemotes {
-		t.Errorf("%d remotes", len(c.remotes))
+		t.Errorf("%d remotes, the limit is %d", len(c.remotes), maxRemotes)
 	}
 }
--- a/peer/remote.go
+++ b/peer/remote.go
@@ -54,7 +54,7 @@
 
 func (r *remote) closeIdle() { r.transport.CloseIdleConnections() }
 
-// boundedBody is a reply body whose Read fails beyond a number of remaining bytes.
+// boundedBody is a reply body whose Read fails if more than remaining bytes follow.
 type boundedBody struct {
 	io.ReadCloser
 	remaining int64
