--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -79,7 +79,7 @@
 	}
 	got, _ = Results(&peerpb.RelayReply{Results: []*peerpb.RelayResult{{Ran: "maybe"}}})
 	if got[0].Ran() != refusal.Unknown {
-		t.Errorf("ran %q", got[0].Ran())
+		t.Errorf("unknown ran decoded as %q, want %q", got[0].Ran(), refusal.Unknown)
 	}
 }
 
@@ -96,30 +96,30 @@
 		kind   refusal.Kind
 		change func(*peerpb.RelayRequest)
 	}{
-		"late":     {refusal.Deadline, func(m *peerpb.RelayRequest) { m.RemainingUs = 0 }},
-		"for ever": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.RemainingUs = 1 << 62 }},
-		"class":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Class = "x" }},
-		"limit":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Limit = maxHits + 1 }},
-		"name":     {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxNameBytes+1) }},
-		"group":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxNameBytes+1) }},
-		"items":    {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items = make([]*peerpb.RelayItem, maxItems+1) }},
-		"nil item": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0] = nil }},
+		"deadline passed":  {refusal.Deadline, func(m *peerpb.RelayRequest) { m.RemainingUs = 0 }},
+		"distant deadline": {refusal.Malformed, func(m *peerpb.RelayRequest) { m.RemainingUs = 1 << 62 }},
+		"class":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Class = "x" }},
+		"limit":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Limit = maxHits + 1 }},
+		"name":             {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Route = strings.Repeat("x", maxNameBytes+1) }},
+		"group":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0].Group = strings.Repeat("x", maxNameBytes+1) }},
+		"items":            {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items = make([]*peerpb.RelayItem, maxItems+1) }},
+		"nil item":         {refusal.Malformed, func(m *peerpb.RelayRequest) { m.Items[0] = nil }},
 	} {
 		m := good()
 		c.change(m)
 		if _, err := Requests(m, 0); err == nil || refusal.FromError(err).Kind() != c.kind {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want kind %s", name, err, c.kind)
 		}
 	}
 }
 
 // Guards against a server that accepts requests without the key, in another
 // encoding or of more than the maximum size.
-func TestServerRejectsInvalidRequests(t *testing.T) {
+func TestServerInvalidRequests(t *testing.T) {
 	h := Handlers{Strike: func(context.Context, *peerpb.StrikeRequest) (*peerpb.StrikeReply, error) {
 		return &peerpb.StrikeReply{}, nil
 	}}
-	address := startServer(t, h, WithKey("k"), WithMaxMessage(1000))
+	address := startServer(t, h, WithKey("k"), WithMaxMessageBytes(1000))
 	for name, c := range map[string]struct {
 		key, encoding string
 		size, status  int
@@ -152,7 +152,7 @@
 		return &peerpb.OutcomeReply{Body: make([]byte, 100_000)}, nil
 	}
 	address := startServer(t, Handlers{Outcome: large}, WithKey("k"))
-	c := NewClient(WithMaxMessage(1000), WithKey("k"))
+	c := NewClient(WithMaxMessageBytes(1000), WithKey("k"))
 	defer c.Close()
 	if _, err := c.Outcome(context.Background(), address, &peerpb.OutcomeRequest{}); err == nil || refusal.FromError(err).Ran() != refusal.Unknown {
 		t.Errorf("large reply: %v", err)
@@ -190,7 +190,7 @@
 		}}))
 	}()
 	defer func() { _ = l.Close() }()
-	c := NewClient(WithConnections(1))
+	c := NewClient(WithMaxConnections(1))
 	defer c.Close()
 	clk := clock.System{}
 	ctx, cancel := clock.WithDeadline(context.Background(), clk, clk.Boot()+50*time.Millisecond)
@@ -213,6 +213,6 @@
 		c.remote(net.JoinHostPort("127.0.0.1", strings.Repeat("1", i%50)+string(rune('a'+i%26))+time.Duration(i).String()))
 	}
 	if len(c.remotes) > maxRemotes {
-		t.Errorf("%d remotes", len(c.remotes))
+		t.Errorf("%d remotes, the limit is %d", len(c.remotes), maxRemotes)
 	}
 }
--- a/standin/shards/target.go
+++ b/standin/shards/target.go
@@ -78,10 +78,10 @@
 	return runs
 }
 
-// MostArrivals returns the maximum number of requests that arrived within any
+// MaxArrivals returns the maximum number of requests that arrived within any
 // interval of length span. Requests that were addressed to another target do not
 // count.
-func (t *Target) MostArrivals(span time.Duration) int {
+func (t *Target) MaxArrivals(span time.Duration) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	maxCount, first := 0, 0
@@ -108,8 +108,8 @@
 	return t.peakConns
 }
 
-// Accepted returns the number of connections that the target accepted.
-func (t *Target) Accepted() int {
+// AcceptedConnections returns the number of connections that the target accepted.
+func (t *Target) AcceptedConnections() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.accepted
@@ -121,14 +121,14 @@
 	return t.behaviour
 }
 
-// chance returns true with probability p.
-func (t *Target) chance(p float64) bool {
+// randomFault reports whether to inject a fault with probability p.
+func (t *Target) randomFault(p float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return p > 0 && t.rng.Float64() < p
 }
 
-// dial returns an in-memory connection to the target.
+// dial implements Emulator.Dial.
 func (t *Target) dial(ctx context.Context) (net.Conn, error) {
 	b := t.currentBehaviour()
 	switch {
@@ -151,7 +151,7 @@
 	t.conns[server] = struct{}{}
 	t.accepted++
 	t.peakConns = max(t.peakConns, len(t.conns))
-	go t.serve(server)
+	go t.serveConn(server)
 	return client, nil
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// serve serves the requests of one connection until it closes.
-func (t *Target) serve(conn net.Conn) {
+// serveConn serves the requests of one connection until it closes.
+func (t *Target) serveConn(conn net.Conn) {
 	defer func() {
 		t.mu.Lock()
 		delete(t.conns, conn)
@@ -196,7 +196,7 @@
 	t.mu.Lock()
 	t.arrivals = append(t.arrivals, time.Now())
 	t.mu.Unlock()
-	if t.chance(b.refusedShare) || !t.acquireSlot(b) {
+	if t.randomFault(b.refusedShare) || !t.acquireSlot(b) {
 		t.mu.Lock()
 		t.refused++
 		t.mu.Unlock()
@@ -214,14 +214,14 @@
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
-	if t.chance(b.droppedReplyShare) {
+	if t.randomFault(b.droppedReplyShare) {
 		return false
 	}
-	if t.chance(b.failedShare) {
+	if t.randomFault(b.failedShare) {
 		return writeString(conn, formatResponse(500, id, t.id, nil))
 	}
 	response := formatResponse(200, id, t.id, Records(t.id, string(req.RequestURI())))
-	if t.chance(b.duplicatedReplyShare) {
+	if t.randomFault(b.duplicatedReplyShare) {
 		response += response
 	}
 	return writeString(conn, response)
@@ -258,7 +258,7 @@
 	return t.crashes
 }
 
-// releaseSlot frees a slot that acquireSlot returned.
+// releaseSlot frees a slot that acquireSlot acquired.
 func (t *Target) releaseSlot() {
 	<-t.slots
 	t.mu.Lock()
