--- a/reference/capacity.go
+++ b/reference/capacity.go
@@ -27,14 +27,14 @@
 - **Cells**: fan-out, heartbeats, handoffs and probes stay within a cell. Each renewal is one write to the store for the whole cell, not one for each daemon.
 - **Batches**: the sub-requests of one query that have the same home are sent in one call.
 - **Watchers**: two daemons of each failure domain hold a watch; the others receive a new generation by pushes and heartbeats and check the store once a minute.
-- **Moves**: homes report evidence to their cell's keeper; the store holds one object for each move.
+- **Moves**: homes report evidence to their cell's leader; the store holds one object for each move.
 - **At most once**: only the daemon incarnation that accepted a request records its identifier; a request causes no write to the store.
 
 ## Limits not met yet
 
 - **Configuration.** Every daemon reads and installs the whole catalogue. At full size, each change costs every daemon the processor time above, and its text in the explicit form exceeds the traffic limit. The catalogue must be split, so that a daemon holds only the rows of its own cell and an index of the other cells.
 - **Cells.** The daemon has the cell's name in its settings; assigning rows of searchers to cells, and using another cell's home when the own cell cannot reach a shard, are designed and not built.
-- **Moves over several cells.** Each keeper has only its own cell's evidence. Steps are conditional updates of one object, so the steps of different cells cannot conflict, but evidence is not combined across cells.
+- **Moves over several cells.** Each leader has only its own cell's evidence. Steps are conditional updates of one object, so the steps of different cells cannot conflict, but evidence is not combined across cells.
 - **Queries.** The processor time of a sub-request determines the number of cores; see the first table. Small VMs do not have enough cores at this cost.
 - **Health requests** count as control here and exceed the traffic limit alone where the table shows it.
 `
@@ -98,7 +98,7 @@
 	return []controlRow{
 		{"Any daemon", "membership of its cell, own identifiers", idleCoreShare, (heartbeatsPerSecond*heartbeatBytes + 2*probesPerSecond*probeBytes) / 1000, "heartbeats, probes"},
 		{"Home", formatNumber(perHome) + " searchers", perHome * searcherCoreShare, perHome * healthRequestsPerSecond * healthBytes / 1000, "health requests"},
-		{"Cell keeper", "last heartbeats of " + formatNumber(n) + " members", n * heartbeatsPerSecond * (heartbeatCPUMicros + callCPUMicros) / 1e6, n * heartbeatsPerSecond * heartbeatBytes / 1000, "heartbeats received"},
+		{"Cell leader", "last heartbeats of " + formatNumber(n) + " members", n * heartbeatsPerSecond * (heartbeatCPUMicros + callCPUMicros) / 1e6, n * heartbeatsPerSecond * heartbeatBytes / 1000, "heartbeats received"},
 		{"Epoch change", formatNumber(groups) + " groups of the cell", epochs * groups * n * orderCPUMicros / 1e6, 0, formatNumber(epochs*3600) + " epochs an hour"},
 		{"Configuration, own cell", formatNumber(groups) + " groups", changes * groups / 1000 * installCPUMillis / 1000, changes * n / t.daemons * t.searchers * catalogueBytes / 1000, "when split by cell"},
 		{"Configuration, whole, compact", formatNumber(all) + " groups", changes * (all/1000*installCPUMillis + t.searchers/1000*evaluateCPUMillis) / 1000, changes * t.searchers * catalogueBytes / 1000, "as built"},
@@ -121,7 +121,7 @@
 	for _, r := range rows[:5] {
 		cpu, traffic = cpu+r.coreShare, traffic+r.kilobytesPerSecond
 	}
-	fmt.Fprintf(b, "| **A keeper that is home, configuration split** | | **%.2f%%** of %.1f%%: %s | **%s** of %s: %s | first five rows |\n",
+	fmt.Fprintf(b, "| **A leader that is home, configuration split** | | **%.2f%%** of %.1f%%: %s | **%s** of %s: %s | first five rows |\n",
 		100*cpu, 100*t.coreLimit, fitText(cpu, t.coreLimit), formatNumber(traffic), formatNumber(t.trafficLimitKB), fitText(traffic, t.trafficLimitKB))
 	cpu += rows[5].coreShare - rows[4].coreShare
 	traffic += rows[5].kilobytesPerSecond - rows[4].kilobytesPerSecond
@@ -146,7 +146,7 @@
 
 | Call | A second | Source |
 |---|---|---|
-| Keeper renewals | %s | %s cells, one write in 1.5 s each |
+| Leader renewals | %s | %s cells, one write in 1.5 s each |
 | Epochs | %s | one for each restart of a VM, as if every VM ran a daemon; worst case |
 | Configuration changes | %s | |
 | **Writes** | **%s** of %s: %s | |
