--- a/catalogue/limits.go
+++ b/catalogue/limits.go
@@ -8,7 +8,8 @@
 	Concurrency int
 }
 
-// Limits bounds the requests of one entry. A zero value sets no bound.
+// Limits bounds the requests of one entry. A zero value means that the entry sets no
+// bound of its own. Bounds of other entries that a request counts against still apply.
 type Limits struct {
 	spec LimitsSpec
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -49,7 +49,7 @@
 // VMListAddress is the address of the VM list, or empty for no VM list.
 func (s Settings) VMListAddress() string { return s.spec.VMListAddress }
 
-// VMListInterval is the time between polls of the VM list.
+// VMListInterval is the pause between the end of a poll of the VM list and the next poll.
 func (s Settings) VMListInterval() time.Duration { return s.spec.VMListInterval }
 
 // Peers lists advertised peer addresses of some daemons of the cell. A daemon that
--- a/settings/spec.go
+++ b/settings/spec.go
@@ -34,7 +34,7 @@
 
 	// VMListAddress is the address of the VM list, or empty for no VM list.
 	VMListAddress string
-	// VMListInterval is the time between polls of the VM list.
+	// VMListInterval is the pause between the end of a poll of the VM list and the next poll.
 	VMListInterval time.Duration
 
 	// Peers lists advertised peer addresses of some daemons of the cell. A daemon that
--- a/store/http.go
+++ b/store/http.go
@@ -18,7 +18,8 @@
 
 const (
 	// defaultTimeout is much longer than the store's usual response time of a few
-	// milliseconds, and shorter than the leases of 3 to 5 s that depend on the store.
+	// milliseconds, and short compared with the leases of 3 to 5 s that depend on the
+	// store.
 	defaultTimeout = time.Second
 	// defaultWatchWait is below the usual idle timeouts of TCP connections, so that a
 	// pending watch is not disconnected.
@@ -121,7 +122,8 @@
 
 func (h *HTTP) objectURL(key string) string { return h.base + "/v1/objects/" + escapeKey(key) }
 
-// escapeKey escapes the segments of a key for a URL path and keeps the slashes.
+// escapeKey escapes the segments of a key for a URL path. It keeps the slashes, because
+// they are part of the path.
 func escapeKey(key string) string {
 	parts := strings.Split(key, "/")
 	for i, p := range parts {
