--- a/home/poll.go
+++ b/home/poll.go
@@ -89,7 +89,8 @@
 
 // handleHealth processes a health reply. A reply that the searcher is cold or
 // draining takes effect at once; a report of ready does not make a searcher
-// warm.
+// warm. For the limit of requests in flight, a report of ready counts only while
+// the searcher is neither warm nor known to be cold.
 func (g *group) handleHealth(m *member, h searcher.Health, now time.Duration) {
 	if m.bootID != "" && m.bootID != h.Boot() {
 		m.resetAfterRestart()
--- a/query/run.go
+++ b/query/run.go
@@ -38,14 +38,14 @@
 
 	estimate        targets.Estimate // At the arrival of the request.
 	expectedLatency time.Duration    // Of a slow shard, from estimate; otherwise 0.
-	deferred        bool             // It is sent only if the other parts are too few.
+	deferred        bool             // The part is sent only if there are too few other parts.
 
 	answer  *targets.Call // The successful call.
 	failure *targets.Call // The last call with a complete answer that reports a failure.
 }
 
-// maxRefused is the greatest number of refused calls after which a part is sent
-// to another target.
+// maxRefused limits the refused calls of a part. The part is sent to another
+// target only while at most maxRefused of its calls were refused.
 const maxRefused = 2
 
 // attempt submits a call of the part and reports whether it was accepted. A
@@ -96,8 +96,8 @@
 	return true
 }
 
-// maxTargets returns on how many targets of a service the request may run. A
-// suspect may run on one.
+// maxTargets returns the maximum number of targets of a service on which the
+// request may run. A suspect may run on one.
 func (r *run) maxTargets() int {
 	if r.suspectCrashes > 0 {
 		return 1
