--- a/home/selection.go
+++ b/home/selection.go
@@ -13,8 +13,7 @@
 // a faster one is as long as its own service time. With one searcher of a pair
 // ten times slower, a weight of 1 raises the p99 at 30% load from 55 to 59 ms
 // when the healthy searcher is farther away; 2.5 raises it at 40% load from 79
-// to 81 ms. At 40% load a weight of 1 gives 76 ms. All values are pooled over
-// four seeds.
+// to 81 ms.
 const loadWeight = 1.5
 
 // freeCapacity returns how many more requests the searcher may receive now.
--- a/settings/table.go
+++ b/settings/table.go
@@ -54,7 +54,7 @@
 	derived("vm_list.address", "address", syntax.Address, "no VM list", func(s *Spec) *string { return &s.VMListAddress },
 		"Address of the platform's VM list. Without it, a removed VM is detected only by heartbeats and health requests."),
 	optional("vm_list.interval", "duration", syntax.DurationBetween(100*time.Millisecond, time.Minute), time.Second, func(s *Spec) *time.Duration { return &s.VMListInterval },
-		"Time between polls of the VM list."),
+		"Pause between two polls of the VM list."),
 	peers,
 	optional("address_ttl", "duration", syntax.DurationBetween(time.Second, time.Minute), 5*time.Second, func(s *Spec) *time.Duration { return &s.AddressTTL },
 		"Time for which callers may use the addresses that a daemon returned. A graceful shutdown takes at least this long."),
