--- a/route/doc.go
+++ b/route/doc.go
@@ -1,3 +1,7 @@
-// Package route holds the configuration of the query tier in force: which
-// service answers a path, what may be repeated and how long a caller waits.
+// Package route defines the routing configuration of the query tier.
+//
+// A Table is one version of the configuration. It maps a host and path prefix
+// to a Route, which names the services that answer the requests and states
+// whether a request may run more than once, its timeout and its latency
+// objective.
 package route
--- a/route/route.go
+++ b/route/route.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Route tells how the requests of one host and path prefix are served. It is
-// immutable but for the state that divides its traffic among services.
+// Route defines how the requests of one host and path prefix are served. It is
+// immutable except for the state that divides its traffic among services, and
+// safe for concurrent use.
 type Route struct {
 	name        string
 	host        string
@@ -21,10 +22,11 @@
 	topRecords  int
 	minCoverage float64
 	regions     []string
-	split       *split
+	split       *weightedSplit
 }
 
-// New returns a route for the paths of host that begin with prefix.
+// New returns a route for the paths of host that begin with prefix. Without
+// options it is not idempotent and uses one target per request.
 func New(name, host, prefix string, opts ...Option) *Route {
 	r := &Route{name: name, host: host, prefix: prefix, maxTargets: 1}
 	for _, o := range opts {
@@ -39,37 +41,41 @@
 // Idempotent reports whether a request may run more than once.
 func (r *Route) Idempotent() bool { return r.idempotent }
 
-// Timeout returns how long a caller is kept waiting at most.
+// Timeout returns the maximum time that a caller is kept waiting, 0 if only the
+// caller's own timeout applies.
 func (r *Route) Timeout() time.Duration { return r.timeout }
 
-// Objective returns the time within which an answer has its full value, from
-// the caller's first attempt.
+// Objective returns the latency objective, measured from the caller's first
+// attempt.
 func (r *Route) Objective() time.Duration { return r.objective }
 
-// Priority returns the rank of the route; 0 is the most urgent.
+// Priority returns the priority; 0 is the most urgent.
 func (r *Route) Priority() int { return r.priority }
 
 // MaxTargets returns on how many targets of a service one request may run.
 func (r *Route) MaxTargets() int { return r.maxTargets }
 
-// Sharded reports whether a request is sent to all shards and the parts merged.
+// Sharded reports whether a request is sent to all shards and the parts are
+// merged.
 func (r *Route) Sharded() bool { return len(r.shards) > 0 }
 
-// Shards returns the services that hold a part of the index each.
+// Shards returns the names of the services that each hold one shard of the
+// index.
 func (r *Route) Shards() []string { return r.shards }
 
-// TopRecords returns how many records a merged answer holds at most.
+// TopRecords returns the maximum number of records in a merged answer.
 func (r *Route) TopRecords() int { return r.topRecords }
 
-// MinShards returns how many parts a merged answer needs to be a success.
+// MinShards returns the number of parts that a merged answer needs to be a
+// success.
 func (r *Route) MinShards() int {
-	// The product of a fraction such as 0.95 and a count may lie a rounding
-	// error above the whole number that is meant.
+	// The product of a fraction such as 0.95 and a count may exceed the
+	// intended whole number by a rounding error.
 	const rounding = 1e-9
 	return max(1, int(math.Ceil(r.minCoverage*float64(len(r.shards))-rounding)))
 }
 
-// AllowsRegion reports whether targets of that region may serve the route.
+// AllowsRegion reports whether targets of the given region may serve the route.
 func (r *Route) AllowsRegion(region string) bool {
 	return len(r.regions) == 0 || slices.Contains(r.regions, region)
 }
--- a/route/service.go
+++ b/route/service.go
@@ -11,9 +11,10 @@
 	warmUpRate     float64
 }
 
-// NewService returns a service whose targets accept maxConnections connections
-// each, from all daemons together. A target is cold for warmUp after its start
-// and then bears warmUpRate requests a second; 0 means no limit.
+// NewService returns a service whose targets each accept maxConnections
+// connections from all daemons together. A target is cold for warmUp after its
+// start; while it is cold, all daemons together may send it warmUpRate requests
+// per second. A rate of 0 means no limit.
 func NewService(name string, maxConnections int, warmUp time.Duration, warmUpRate float64) *Service {
 	return &Service{name: name, maxConnections: maxConnections, warmUp: warmUp, warmUpRate: warmUpRate}
 }
@@ -21,12 +22,13 @@
 // Name returns the name of the service.
 func (s *Service) Name() string { return s.name }
 
-// MaxConnections returns how many connections a target accepts from all daemons.
+// MaxConnections returns how many connections a target accepts from all daemons
+// together.
 func (s *Service) MaxConnections() int { return s.maxConnections }
 
 // WarmUp returns how long a target is cold after its start.
 func (s *Service) WarmUp() time.Duration { return s.warmUp }
 
-// WarmUpRate returns how many requests a second a cold target bears, over all
-// daemons; 0 means no limit.
+// WarmUpRate returns the limit on requests per second to a cold target from all
+// daemons together; 0 means no limit.
 func (s *Service) WarmUpRate() float64 { return s.warmUpRate }
--- a/route/split.go
+++ b/route/split.go
@@ -2,10 +2,11 @@
 
 import "sync"
 
-// split divides requests among services by smooth weighted round robin: the
-// service with the greatest credit is next and pays the sum of all weights, so
-// the shares are right over any short span.
-type split struct {
+// weightedSplit divides requests among services by smooth weighted round robin.
+// Each request adds the weights to the credits of the services; the service
+// with the greatest credit gets the request and loses the sum of all weights.
+// The shares are thus right over short spans too.
+type weightedSplit struct {
 	services []string
 	weights  []float64
 	total    float64
@@ -14,15 +15,15 @@
 	credit []float64
 }
 
-func newSplit(services []string, weights []float64) *split {
-	s := &split{services: services, weights: weights, credit: make([]float64, len(services))}
+func newSplit(services []string, weights []float64) *weightedSplit {
+	s := &weightedSplit{services: services, weights: weights, credit: make([]float64, len(services))}
 	for _, w := range weights {
 		s.total += w
 	}
 	return s
 }
 
-func (s *split) next() string {
+func (s *weightedSplit) next() string {
 	if len(s.services) == 1 {
 		return s.services[0]
 	}
@@ -39,7 +40,7 @@
 	return s.services[best]
 }
 
-func (s *split) names() []string {
+func (s *weightedSplit) names() []string {
 	if s == nil {
 		return nil
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -15,7 +15,7 @@
 	names    map[string]bool // Names of all routes.
 }
 
-// NewTable returns the configuration of that version.
+// NewTable returns a configuration with the given version.
 func NewTable(version uint64, routes []*Route, services []*Service, limits Limits) *Table {
 	t := &Table{
 		version:  version,
@@ -29,7 +29,8 @@
 		t.hosts[r.host] = append(t.hosts[r.host], r)
 	}
 	for _, rs := range t.hosts {
-		// The longest prefix comes first, so the first match is the right one.
+		// The longest prefix comes first, so that Match can return the first
+		// match.
 		slices.SortStableFunc(rs, func(a, b *Route) int { return cmp.Compare(len(b.prefix), len(a.prefix)) })
 	}
 	for _, s := range services {
@@ -41,7 +42,7 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits returns the limits on what callers send.
+// Limits returns the limits on the requests and connections of callers.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Service returns a service by its name, or nil.
@@ -50,10 +51,11 @@
 // Services returns all services by name.
 func (t *Table) Services() map[string]*Service { return t.services }
 
-// HasRoute reports whether there is a route of that name.
+// HasRoute reports whether there is a route of the given name.
 func (t *Table) HasRoute(name string) bool { return t.names[name] }
 
-// Match returns the route of host with the longest prefix of path, or nil.
+// Match returns the route of host whose prefix is the longest prefix of path,
+// or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.hosts[host] {
 		if strings.HasPrefix(path, r.prefix) {
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// Used returns the names of the services that some route uses.
+// Used returns the set of names of services that at least one route uses.
 func (t *Table) Used() map[string]bool {
 	used := make(map[string]bool)
 	for _, rs := range t.hosts {
--- a/upgrade/move.go
+++ b/upgrade/move.go
@@ -6,27 +6,31 @@
 )
 
 const (
-	// firstShare is the share of the new version until most of the time has
-	// passed; a bad version may get a tenth of all requests.
-	firstShare = 0.04
-	// loadShare is the share after that, which shows faults that need load. Both
-	// together stay below a tenth of all requests.
+	// initialShare is the share of the new version until loadShareStart. A bad
+	// version may get at most a tenth of all requests.
+	initialShare = 0.04
+	// loadShare is the share after that, which reveals faults that occur only
+	// under load. Averaged over the move, both together stay below a tenth of
+	// all requests.
 	loadShare = 0.15
-	// loadFrom and completeFrom are the parts of the time at which the new
-	// version gets more and the move is completed.
-	loadFrom     = 0.6
-	completeFrom = 0.85
-	// minBad is how many bad answers must be seen before a version is taken for
-	// bad, so that single ones of a good version are not enough.
-	minBad = 6
-	// badMargin is by how much a version may be worse than the old one.
+	// loadShareStart and completionStart are the fractions of the move's
+	// duration after which the share rises to loadShare and the move is
+	// completed.
+	loadShareStart  = 0.6
+	completionStart = 0.85
+	// minBadAnswers is the number of bad answers required for a rollback, so
+	// that single bad answers of a good version are not enough.
+	minBadAnswers = 6
+	// badMargin is the amount by which the rate of bad answers may exceed that
+	// of the old version.
 	badMargin = 0.03
-	// badDeviations is by how many standard deviations its bad answers must
-	// exceed what that allows; the comparison is made after every request.
+	// badDeviations is the number of standard deviations by which the bad
+	// answers must exceed the allowed number. It is large because the
+	// comparison is repeated after every request.
 	badDeviations = 4
 )
 
-// State is the state of a move.
+// State is the state of a version move.
 type State string
 
 // The states of a move. All but Running are final.
@@ -36,38 +40,39 @@
 	RolledBack State = "rolled back"
 )
 
-// Next returns the state that follows from the evidence of all daemons, elapsed
-// after the order with the time that it gives.
-func Next(current State, elapsed, given time.Duration, was, is Tally) State {
+// Next returns the next state of a move. Elapsed is the time since the order,
+// duration the time that the order allows for the move. The tallies count the
+// answers seen by all daemons.
+func Next(current State, elapsed, duration time.Duration, oldTally, newTally Tally) State {
 	switch {
 	case current != Running:
 		return current
-	case worse(was, is):
+	case isWorse(oldTally, newTally):
 		return RolledBack
-	case elapsed >= time.Duration(completeFrom*float64(given)):
+	case elapsed >= time.Duration(completionStart*float64(duration)):
 		return Completed
 	}
 	return Running
 }
 
-// worse reports whether the new version gives more bad answers than chance
-// explains.
-func worse(was, is Tally) bool {
-	allowed := was.rate() + badMargin
-	n := float64(is.requests)
+// isWorse reports whether the new version gives significantly more bad answers
+// than the old one.
+func isWorse(oldTally, newTally Tally) bool {
+	allowed := oldTally.rate() + badMargin
+	n := float64(newTally.requests)
 	limit := allowed*n + badDeviations*math.Sqrt(allowed*(1-min(allowed, 1))*n)
-	return is.bad >= minBad && float64(is.bad) > limit
+	return newTally.bad >= minBadAnswers && float64(newTally.bad) > limit
 }
 
-// Share returns the share of requests that the new version gets.
-func Share(s State, elapsed, given time.Duration) float64 {
+// Share returns the share of requests, from 0 to 1, that the new version gets.
+func Share(s State, elapsed, duration time.Duration) float64 {
 	switch {
 	case s == Completed:
 		return 1
 	case s == RolledBack:
 		return 0
-	case elapsed >= time.Duration(loadFrom*float64(given)):
+	case elapsed >= time.Duration(loadShareStart*float64(duration)):
 		return loadShare
 	}
-	return firstShare
+	return initialShare
 }
--- a/upgrade/tally.go
+++ b/upgrade/tally.go
@@ -1,13 +1,14 @@
 package upgrade
 
-// Tally counts answers of one version of a service.
+// Tally counts the answers of one version of a service. An answer is bad if it
+// reports a failure or took several times the median latency.
 type Tally struct {
 	requests int
 	bad      int
 }
 
-// NewTally returns a tally of that many requests, of which some had a failure or
-// an answer that took several times as long as usual.
+// NewTally returns a tally of the given number of requests and of bad answers
+// among them.
 func NewTally(requests, bad int) Tally { return Tally{requests: requests, bad: bad} }
 
 // Requests returns the number of requests.
@@ -16,7 +17,7 @@
 // Bad returns the number of bad answers.
 func (t Tally) Bad() int { return t.bad }
 
-// Count adds one answer.
+// Count adds one answer, bad or good.
 func (t *Tally) Count(bad bool) {
 	t.requests++
 	if bad {
